--- a/src/core/relay/catalog_revisions.hpp
+++ b/src/core/relay/catalog_revisions.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How far a node has come in the changes of the store.
+/// How much of the store's state a node has read.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace shuntbank::relay {
 
-/// Revisions of the newest changes that a node has seen; 0: none yet.
+/// Revisions of the newest changes that a node has received; 0: none yet.
 struct CatalogRevisions {
   std::uint64_t configuration = 0;
   std::uint64_t engines = 0;
@@ -16,15 +16,15 @@
   bool operator==(const CatalogRevisions&) const = default;
 };
 
-/// What a node says of its reading of the store.
+/// A node's progress in reading the store, as reported to other nodes.
 struct StoreProgress {
   CatalogRevisions seen;
-  MonotonicTime latest_at{};  ///< When the store last said that nothing newer is known.
+  MonotonicTime latest_at{};  ///< When the store last confirmed `seen` as the newest.
 };
 
-/// Who reads the store, as one node knows.
+/// What one node knows of the store readers.
 struct StoreReaders {
-  bool self = false;         ///< This node reads the latest for others.
+  bool self = false;         ///< This node is a store reader.
   MonotonicTime heard_at{};  ///< When the store last confirmed the state to any reader.
 
   bool operator==(const StoreReaders&) const = default;
--- a/src/core/relay/crash_ledger.cpp
+++ b/src/core/relay/crash_ledger.cpp
@@ -7,11 +7,10 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Until an engine is asked once more whether it lives: an answer takes a few milliseconds, and an
-/// engine that is dark gives none.
+/// Interval between checks of one engine; a live engine answers within a few milliseconds.
 constexpr Duration kAskAgain = std::chrono::milliseconds(500);
 
-/// From so many engines on that may have ended, it is asked whether they have.
+/// Interruptions of a request from which on its engines are checked.
 constexpr std::size_t kAskFrom = 2;
 
 }  // namespace
@@ -57,7 +56,7 @@
 }
 
 void CrashLedger::on_broken(MonotonicTime at, const BrokenRequest& broken) {
-  // Overloads end in silence by the thousand, and hardly ever because an engine has gone.
+  // Overload causes timeouts by the thousand, and these must not displace real evidence.
   if (broken.silent && this->suspects.size() >= this->settings.most_suspects / 2) return;
   const auto answered = this->lived.find(broken.engine);
   if (answered != this->lived.end() && at < answered->second) return;
@@ -164,7 +163,7 @@
   if (this->suspects.count(held.request) == 0) this->make_room();
   Suspect& suspect = this->suspects[held.request];
   if (suspect.let_go) return;
-  // Under which caller which engine ended matters no more.
+  // Which caller goes with which engine is not stored and no longer matters.
   auto caller = held.callers.begin();
   for (const EngineKey engine : held.ended) {
     suspect.engines[engine] = Broken{now, *caller, false, true, true};
@@ -206,7 +205,7 @@
   return questions;
 }
 
-/// An engine that ended under a request which is held back speaks against no other.
+/// @return whether the engine's crash is already attributed to another quarantined request.
 bool CrashLedger::accounted_for(EngineKey engine, const RequestIdentity& request) const {
   return std::any_of(this->held_back.begin(), this->held_back.end(), [&](const auto& guilty) {
     if (guilty == request) return false;
@@ -267,7 +266,7 @@
       return !entry.second.ended && now - entry.second.at > this->settings.proof_within;
     });
     if (!suspect.held_until || *suspect.held_until > now) continue;
-    // One more ended engine is enough to hold it back again.
+    // One more crash quarantines it again.
     suspect.held_until.reset();
     this->held_back.erase(request);
     while (suspect.engines.size() >= this->settings.enough) {
--- a/src/core/relay/crash_ledger.hpp
+++ b/src/core/relay/crash_ledger.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// Which requests ran at engines as these ended, and what follows from it: a request that ends each
-/// engine that runs it must not be sent on for ever, and one that only ran beside it is not to
-/// blame.
+/// Records which requests were running at engines that crashed, to quarantine a request that
+/// crashes every engine it runs on, but not the requests that merely ran beside it.
 #pragma once
 
 #include <cstdint>
@@ -16,71 +15,69 @@
 
 namespace shuntbank::relay {
 
-/// Tunables of the ledger, in one place.
+/// Tunables of the ledger.
 struct CrashLedgerSettings {
-  /// Ended engines after which a request is held back, unless another one that is held back
-  /// accounts for them. One may be chance, and two are met by requests that are sent on together
-  /// with the guilty one (in an incident 17 of 51 tries met two).
+  /// Crashed engines after which a request is quarantined, not counting crashes that another
+  /// quarantined request explains. Requests that are retried together with the cause often see two.
   std::size_t enough = 3;
-  /// Ended engines after which a request is held back in any case: by then another was held back
-  /// before, and this one has gone on ending engines without it.
+  /// Crashed engines after which a request is quarantined even if other quarantined requests
+  /// explain some of the crashes.
   std::size_t enough_in_any_case = 4;
-  /// How long a request is held back behind its last try. Longer than callers were seen to pause
-  /// (30 s), and far longer than an engine needs to start again (3 s).
+  /// How long a request is quarantined after its last attempt. Exceeds the retry interval of
+  /// callers (30 s) and the restart time of an engine (3 s).
   Duration hold = std::chrono::minutes(15);
-  /// How long an ended engine is remembered against a request that is not held back.
+  /// How long crashes are remembered for a request that is not quarantined.
   Duration memory = std::chrono::minutes(10);
-  /// Within this time it must be known that the engine has ended, or it speaks against nobody.
-  /// Longer than three heartbeats, after which the list of engines lacks one that has gone dark.
+  /// An interruption is discarded unless the engine's crash is confirmed within this time. Exceeds
+  /// three heartbeats, after which an unresponsive engine is dropped from the list of engines.
   Duration proof_within = std::chrono::seconds(6);
-  /// How long an engine's end is remembered for what is told later of it: nodes tell within a
-  /// second or two, and a message may be lost.
+  /// How long a crash is remembered for late reports: nodes report within a second or two, and a
+  /// message may be lost.
   Duration ends_remembered = std::chrono::seconds(10);
-  /// A suspect that is under way elsewhere is forgotten after so long, whatever became of it there.
+  /// After this time a suspect no longer counts as in flight at an engine.
   Duration longest_trial = std::chrono::seconds(10);
-  /// Requests remembered; about 200 bytes each. Those with the fewest ended engines go first, the
-  /// oldest of these before the others.
+  /// Requests remembered; about 200 bytes each. Evicted by fewest crashes, then by age.
   std::size_t most_suspects = 2000;
 };
 
-/// What is known against a request.
+/// Whether a request is suspected of crashing engines, and whether it is quarantined.
 struct CrashStanding {
-  std::size_t broken = 0;            ///< Engines that broke it off and may have ended.
-  std::size_t ended = 0;             ///< Of these: that are known to have ended.
-  bool under_way = false;            ///< An engine has it now.
-  std::optional<Duration> held_for;  ///< Set while it is held back: what is left of it.
+  std::size_t broken = 0;            ///< Engines that interrupted it and may have crashed.
+  std::size_t ended = 0;             ///< Those of `interruptions` that are known to have crashed.
+  bool under_way = false;            ///< An engine is running it now.
+  std::optional<Duration> held_for;  ///< Set while it is quarantined.
 
-  /// @return whether an engine may have ended under it.
+  /// @return whether an engine may have crashed while running it.
   bool suspect() const { return this->broken > 0; }
 };
 
-/// A request that is held back, with what speaks against it.
+/// A quarantined request and the crashes attributed to it.
 struct HeldRequest {
   RequestIdentity request;
   std::vector<EngineKey> ended;
-  /// Whence it came as engines ended. From one address alone: only that one is held back, so that
-  /// nobody gets another's request refused by sending the same; from several: all are.
+  /// Callers whose copies crashed engines. With one caller, only that caller's copies are
+  /// quarantined, so that nobody can get another's request refused by sending the same; with
+  /// several, everyone's are.
   std::set<CallerKey> callers;
   Duration left = Duration::zero();
 
-  /// @return whether it is held back from wherever it comes.
   bool for_all() const { return this->callers.size() > 1; }
   bool operator==(const HeldRequest&) const = default;
 };
 
-/// One engine's doing with one request.
+/// A request that an engine did not complete.
 struct BrokenRequest {
   TriedRequest tried;
   EngineKey engine = 0;
-  /// The engine said nothing, rather than close the connection; counts only once it is known to
-  /// have ended.
+  /// The engine stopped responding rather than close the connection; counts only once it is known
+  /// to have crashed.
   bool silent = false;
-  bool heard = false;  ///< Another node saw it, which is also the one that asks the engine.
+  bool heard = false;  ///< Reported by another node, which also checks the engine.
 
   bool operator==(const BrokenRequest&) const = default;
 };
 
-/// What one engine's end says against one request.
+/// One interruption or crash attributed to a request.
 struct CrashEvidence {
   EngineKey engine = 0;
   CallerKey caller = 0;
@@ -90,73 +87,74 @@
   bool operator==(const CrashEvidence&) const = default;
 };
 
-/// Knows no clock and no other node: callers pass in the time, and what other nodes have met.
+/// Counts engine crashes per request and decides which requests are quarantined. Has no clock or
+/// network access: callers pass in the time and the reports of other nodes.
 class CrashLedger {
  public:
   explicit CrashLedger(const CrashLedgerSettings& own_settings = {}) : settings(own_settings) {}
 
-  /// @return whether nothing is known against any request.
+  /// @return whether no request is a suspect or was recently.
   bool empty() const { return this->suspects.empty(); }
 
-  /// @return what is known against a request, for a try that comes from where it does.
+  /// @return the status of a request when sent by this caller.
   CrashStanding standing(MonotonicTime now, const TriedRequest& tried) const;
 
-  /// @return whether a request is held back, from wherever.
+  /// @return whether a request is quarantined for any caller.
   bool holds(const RequestIdentity& request) const { return this->held_back.count(request) > 0; }
 
-  /// @return whether anything is remembered of a request.
+  /// @return whether there is a record of a request.
   bool knows(const RequestIdentity& request) const { return this->suspects.count(request) > 0; }
 
-  /// @return whether other nodes have told of a request.
+  /// @return whether other nodes have reported interruptions of a request.
   bool heard_of(const RequestIdentity& request) const;
 
-  /// @return the requests that an engine broke off.
+  /// @return the requests that an engine interrupted.
   std::vector<RequestIdentity> broken_by(EngineKey engine) const;
 
-  /// An engine broke a request off.
+  /// Records that an engine interrupted a request.
   void on_broken(MonotonicTime at, const BrokenRequest& broken);
 
-  /// @return whether the engine was known to have ended before: what is sent there then and breaks
-  /// is not what ended it.
+  /// @return whether the engine was already known to have crashed, so that a request sent at `at`
+  /// cannot be the cause.
   bool ended_before(MonotonicTime at, EngineKey engine) const;
 
-  /// An engine is known to have ended.
+  /// Records that an engine has crashed.
   void on_engine_ended(MonotonicTime now, EngineKey engine);
 
-  /// An engine has answered what it was sent at `sent_at`: what broke before was not its end, and
-  /// whom only such ends held back is held back no more.
+  /// Records that an engine answered a request sent at `sent_at`. Earlier interruptions there were
+  /// no crashes: they are discarded, and quarantines that rested on them are lifted.
   void on_engine_answered(MonotonicTime sent_at, EngineKey engine);
 
-  /// A request ran to its end, or an operator speaks for it: what is known from before is void.
+  /// Discards earlier evidence against a request that has completed or that an operator released.
   void clear(MonotonicTime at, const RequestIdentity& request);
 
-  /// A request that engines may have ended under is under way at one again, or no more.
+  /// Records that a suspect is sent to an engine again, or no longer runs there.
   void begin_trial(MonotonicTime now, const RequestIdentity& request, EngineKey engine);
   void end_trial(const RequestIdentity& request);
 
-  /// @return the engines at which other suspects than `request` are under way.
+  /// @return the engines at which suspects other than `request` are in flight.
   std::set<EngineKey> engines_on_trial(MonotonicTime now, const RequestIdentity& request) const;
 
-  /// A request that is held back has come again.
+  /// Restarts the quarantine period when a quarantined request is sent again.
   void on_held_again(MonotonicTime now, const RequestIdentity& request);
 
-  /// Takes over from an earlier life, or from a node that knows, that a request is held back.
+  /// Restores a quarantine from the store or from another node.
   void restore(MonotonicTime now, const HeldRequest& held);
 
-  /// @return what speaks against a request.
+  /// @return the interruptions and crashes attributed to a request.
   std::vector<CrashEvidence> evidence(const RequestIdentity& request) const;
 
-  /// @return the engines of which it matters whether they have ended, each once in a while; those
-  /// that broke off what this node had sent.
+  /// @return engines to be checked for a crash: those that interrupted requests of this node.
+  /// Limits how often each is returned.
   std::vector<EngineKey> take_questions(MonotonicTime now);
 
-  /// @return requests that are held back, or from more callers than before, since the last call.
+  /// @return requests quarantined, or quarantined for more callers, since the last call.
   std::vector<HeldRequest> take_verdicts(MonotonicTime now);
 
-  /// @return all requests that are held back.
+  /// @return all quarantined requests.
   std::vector<HeldRequest> held(MonotonicTime now) const;
 
-  /// Forgets what is too old.
+  /// Drops expired evidence and quarantines.
   void expire(MonotonicTime now);
 
  private:
@@ -175,10 +173,9 @@
     std::map<EngineKey, Broken> engines;
     std::optional<Trial> trial;
     std::optional<MonotonicTime> held_until;
-    std::size_t held_callers = 0;  ///< When it was last said that it is held back.
+    std::size_t held_callers = 0;  ///< Callers when the quarantine was last announced.
     MonotonicTime cleared_at{};
-    /// Was held back, and then cleared or shown to have ended fewer engines: what the store still
-    /// says of it is not taken.
+    /// The quarantine was lifted by new evidence; outdated entries of the store are ignored.
     bool let_go = false;
     MonotonicTime last{};
   };
--- a/src/core/relay/crash_report.hpp
+++ b/src/core/relay/crash_report.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What nodes tell each other of requests that engines broke off.
+/// Reports that nodes exchange about requests that engines interrupted.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,24 @@
 namespace shuntbank::relay {
 
 enum class CrashNews : std::uint8_t {
-  kBroken,    ///< The engine broke the request off, and may have ended.
-  kEnded,     ///< The same, and it has ended.
-  kCleared,   ///< The request ran to its end, or an operator speaks for it.
-  kOnTrial,   ///< The engine is given the request, under which others may have ended.
-  kLives,     ///< The engine has answered since: what broke there before was not its end.
-  kOffTrial,  ///< The engine has it no more, and nothing is to be learned from how it ended.
+  kBroken,    ///< The engine interrupted the request and may have crashed.
+  kEnded,     ///< As `kInterrupted`, and the crash is confirmed.
+  kCleared,   ///< The request completed, or an operator released it.
+  kOnTrial,   ///< A suspect request is sent to the engine.
+  kLives,     ///< The engine answered, so earlier interruptions were no crashes.
+  kOffTrial,  ///< The request no longer runs there; the outcome is inconclusive.
 };
 
-/// The last of the kinds, for those who read them from a message.
+/// Highest value, for validation when decoding.
 constexpr CrashNews kLastCrashNews = CrashNews::kOffTrial;
 
-/// One piece of news. Told a few times, so that a lost message does not matter.
+/// A report about one request, sent several times to survive message loss.
 struct CrashReport {
   CrashNews news = CrashNews::kBroken;
   RequestIdentity request;
-  EngineKey engine = 0;      ///< Nothing where a request is cleared.
-  CallerKey caller = 0;      ///< Whence the request came; nothing where it is cleared.
-  std::uint32_t age_ms = 0;  ///< How long ago it happened, when the message was made.
+  EngineKey engine = 0;      ///< 0 for `kCleared`.
+  CallerKey caller = 0;      ///< The sender of the request; 0 for `kCleared`.
+  std::uint32_t age_ms = 0;  ///< Age of the event when the message was sent.
 
   bool operator==(const CrashReport&) const = default;
 };
--- a/src/core/relay/engine_directory.cpp
+++ b/src/core/relay/engine_directory.cpp
@@ -7,8 +7,8 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Engines whose latest start is remembered after they are gone, so that late news of an earlier
-/// one does not bring that back: ten times as many as a large fleet has.
+/// Engine names whose latest incarnation is remembered, so that late updates do not restore an
+/// earlier one: ten times the size of a large fleet.
 constexpr std::size_t kMostNames = 8192;
 
 }  // namespace
@@ -70,7 +70,7 @@
   latest->second = start;
 }
 
-/// Names of engines that are still known stay, however old: they are asked for by name.
+/// Names of engines that are still present are kept, as they are looked up by name.
 void EngineDirectory::forget_oldest_names() {
   for (std::size_t looked = latest_order_.size(); looked > 0 && latest_order_.size() > kMostNames;
        --looked) {
@@ -90,18 +90,18 @@
   if (record.draining) notices_.on_leaving(record.id);
   const auto [entry, added] = engines_.try_emplace(record.id);
   EngineView& engine = entry->second;
-  // What was met before says nothing of an engine that has changed.
+  // Failures of the earlier record do not apply to a changed one.
   if (!(engine.record == record)) engine.avoided_until = {};
   engine.record = record;
-  // A start of an engine that leaves never takes work again; a record that says so is an old one,
-  // or one that the engine could not write while the store was away.
+  // Draining is irrevocable; a record that lacks it is outdated or could not be updated while the
+  // store was unavailable.
   engine.record.draining = notices_.leaving(record.id);
   engine.rests_until = notices_.rests_until(record.id);
   engine.next_permit_at = limits_.next(record.id);
   if (!added) return;
   engine.key = engine_key(record.id);
   by_key_.emplace(engine.key, &engine);
-  // Others may have known it earlier.
+  // Other nodes may have reported load for it already.
   for (const auto& [node, peer] : peers_) {
     const auto load = peer.load.find(record.id);
     if (load != peer.load.end()) engine.heard += load->second;
--- a/src/core/relay/engine_directory_health.cpp
+++ b/src/core/relay/engine_directory_health.cpp
@@ -1,4 +1,4 @@
-// What this node concludes of engines from how attempts end, and from what other nodes have met.
+// Engine health and backoff, from attempts of this node and problems reported by other nodes.
 #include <algorithm>
 
 #include "common/hash.hpp"
@@ -7,35 +7,36 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Failures in a row after which an engine is avoided, and for how long at first and at most.
+/// Consecutive failures before backoff, and its initial and maximum duration.
 constexpr std::uint32_t kFailuresToAvoid = 3;
 constexpr Duration kFirstAvoidance = std::chrono::milliseconds(500);
 constexpr Duration kLongestAvoidance = std::chrono::seconds(4);
 
-/// An engine that refuses is full, or changes its stage, for a while; longer each time in a row.
+/// Initial backoff after a refusal: the engine is full or changing its stage.
 constexpr Duration kBusyAvoidance = std::chrono::milliseconds(400);
 
-/// An engine that cannot be reached is avoided at once, and not preferred for its idleness after.
+/// An unreachable engine is backed off at once, and its failure rate raised so that it is not
+/// preferred for being idle afterwards.
 constexpr Duration kUnreachableAvoidance = std::chrono::seconds(1);
 constexpr double kUnreachableShare = 0.5;
 
-/// Up to so many times longer, drawn by each node anew. Where all nodes heard of it together, all
-/// would try it again together; so the first one does, and tells the others what it met.
+/// Backoffs are extended at random by up to this factor, so that nodes do not retry an engine all
+/// at once and the first one can report its result.
 constexpr double kLongestByLot = 3;
 
-/// An engine that is not the one expected is avoided until its record changes, or so long.
+/// Maximum backoff after a misdirected request, unless the engine's record changes earlier.
 constexpr Duration kMisdirectedAvoidance = std::chrono::seconds(5);
 
-/// What another node has met at an engine does not count against a later success here.
+/// Problems reported by other nodes are ignored this long after a success here.
 constexpr Duration kTroubleAge = std::chrono::milliseconds(300);
 
-/// A pace that is older says nothing of an engine's streams now.
+/// Older samples no longer describe an engine's streams.
 constexpr Duration kPaceLife = std::chrono::milliseconds(600);
 
 /// Weight of the newest attempt in the moving averages.
 constexpr double kNewestWeight = 0.15;
 
-/// @return the avoidance after so many others in a row.
+/// @return the backoff after so many consecutive ones.
 Duration doubled(Duration first, std::uint32_t times) {
   constexpr std::uint32_t kMostDoublings = 4;
   return std::min(first * (1 << std::min(times, kMostDoublings)), kLongestAvoidance);
@@ -60,7 +61,7 @@
   if (health == AttemptHealth::kBusy) {
     engine->avoided_until = now + doubled(kBusyAvoidance, engine->refusals_in_a_row++);
   }
-  // The handle may have lapsed, which says little of the engine.
+  // The handle may have expired, which is no sign of poor health.
   if (health == AttemptHealth::kHandleRefused) engine->avoided_until = now + kBusyAvoidance;
   if (health == AttemptHealth::kMisdirected) engine->avoided_until = now + kMisdirectedAvoidance;
   if (!failed) return;
@@ -80,7 +81,7 @@
     return;
   }
   EngineView* engine = find(trouble.engine);
-  // A node that knows a newer record of the engine would not have met this.
+  // The reporting node acted on a different record.
   if (engine == nullptr || engine->record.stage != trouble.stage) return;
   const bool misdirected = trouble.kind == TroubleKind::kMisdirected;
   if (!misdirected && now - engine->last_good < kTroubleAge) return;
--- a/src/core/relay/engine_directory_load.cpp
+++ b/src/core/relay/engine_directory_load.cpp
@@ -1,4 +1,4 @@
-// What is under way at engines, by this node and by the others.
+// Load of the engines, caused by this node and by the others.
 #include <algorithm>
 
 #include "core/relay/engine_directory.hpp"
@@ -6,10 +6,10 @@
 namespace shuntbank::relay {
 namespace {
 
-/// A report older than this says nothing of the load now.
+/// Older load reports of an engine are ignored.
 constexpr Duration kReportLife = std::chrono::seconds(2);
 
-/// A node that was not heard of for so long has nothing under way as far as others can tell.
+/// A node that has not reported for this long counts as having no load.
 constexpr Duration kPeerLife = std::chrono::milliseconds(2500);
 
 }  // namespace
@@ -69,7 +69,7 @@
 void EngineDirectory::on_fleet_load(MonotonicTime now, const LoadRange& part,
                                     const LoadByKey& own_counted) {
   fleet_load_at_ = now;
-  // Only the engines of the part: a sum has as many parts as it needs for all.
+  // A sum may be split into several ranges; only the engines of this one are updated.
   for (auto it = by_key_.lower_bound(part.first); it != by_key_.end() && part.covers(it->first);
        ++it) {
     const auto told = part.load.find(it->first);
@@ -96,7 +96,7 @@
   }
 }
 
-/// Only the engines of one message are touched, so that its cost does not grow with the fleet.
+/// Updates only the engines of one message, so that its cost is independent of the fleet size.
 void EngineDirectory::add_to_peers(const std::map<EngineId, PeerLoad>& load, bool subtract) {
   for (const auto& [id, work] : load) {
     EngineView* engine = find(id);
--- a/src/core/relay/engine_key.hpp
+++ b/src/core/relay/engine_key.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A short name for an engine in the messages between nodes.
+/// A compact key for an engine in messages between nodes.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace shuntbank::relay {
 
-/// The first 32 bits of a hash of an engine's id. Two of 640 engines share one in about 20,000
-/// fleets; then one shows the other's load, which costs placement a little and breaks nothing.
+/// The first 32 bits of a hash of an engine's id. Collisions are rare, and affect only the load
+/// figures of the two engines.
 using EngineKey = std::uint32_t;
 
 inline EngineKey engine_key(const EngineId& id) {
--- a/src/core/relay/engine_limit.cpp
+++ b/src/core/relay/engine_limit.cpp
@@ -7,7 +7,7 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Starts of engines that are remembered before old ones are looked for, and for how long they are.
+/// Limits stored before expired ones are erased, and their lifetime.
 constexpr std::size_t kManyEngines = 4096;
 constexpr Duration kRemembered = std::chrono::minutes(10);
 
@@ -70,7 +70,7 @@
   return found->second.next;
 }
 
-/// An engine that still lives names its limit again with its next answer.
+/// A live engine announces its limit again with its next answer.
 void EngineLimits::forget_old(MonotonicTime now) {
   std::erase_if(this->engines, [now](const auto& entry) {
     return now - entry.second.limit.heard_at > kRemembered;
--- a/src/core/relay/engine_limit.hpp
+++ b/src/core/relay/engine_limit.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// How many requests a second engines say that they take from all nodes together, as nodes hear it
-/// of the engines themselves and of each other, in any order.
+/// Rate limits that engines announce for all nodes together. Observations from engines and reports
+/// from other nodes may arrive in any order.
 #pragma once
 
 #include <cstddef>
@@ -13,15 +13,15 @@
 
 namespace shuntbank::relay {
 
-/// An engine's word on its limit, with the time at which some node heard it of the engine.
+/// A limit, and when some node received it from the engine.
 struct HeardLimit {
-  std::optional<double> a_second;  ///< Nothing: the engine takes what it gets.
+  std::optional<double> a_second;  ///< Unset: unlimited.
   MonotonicTime heard_at{};
 
   bool operator==(const HeardLimit&) const = default;
 };
 
-/// A limit that an engine has begun to name, has changed or has ended.
+/// A limit that an engine has set, changed or removed.
 struct LimitNews {
   EngineId engine;
   HeardLimit limit;
@@ -29,7 +29,7 @@
   bool operator==(const LimitNews&) const = default;
 };
 
-/// A limit as messages between nodes tell it: with how long ago it was heard of the engine.
+/// A limit in messages between nodes, with the age of its observation.
 struct ToldLimit {
   std::optional<double> a_second;
   std::uint32_t age_ms = 0;
@@ -37,38 +37,36 @@
   bool operator==(const ToldLimit&) const = default;
 };
 
-/// The highest age that is told: an hour. Nothing that was heard so long ago decides anything.
+/// Greater ages are cut to this.
 constexpr std::uint32_t kHighestLimitAge = 3'600'000;  // ms
 
 ToldLimit to_told(const HeardLimit& limit, MonotonicTime now);
 HeardLimit to_heard(const ToldLimit& told, MonotonicTime now);
 
-/// A word counts as later than another only by so much: answers pass each other on their
-/// connections, and news of them take up to some sums of the fleet's view.
+/// Observations closer together than this may arrive in either order, as answers and reports
+/// overtake each other.
 constexpr Duration kSurelyLater = std::chrono::milliseconds(500);
 
-/// What is known of the limit of each start of an engine, and when it takes the next request.
+/// The limit of each engine incarnation and the time of its next permit.
 class EngineLimits {
  public:
-  /// Takes a word. A lower limit is taken unless it is surely older than what is known, a higher
-  /// one and the end of a limit only where they are surely later: of two nodes that heard different
-  /// figures both are right in the end, and until then the lower one holds.
+  /// Applies an observation. Within `kReorderTolerance` of the known one the lower limit wins;
+  /// otherwise the newer one, so that nodes with different observations converge.
   /// @return whether the limit has changed.
   bool hear(const EngineId& engine, const HeardLimit& heard);
 
-  /// @return what is known of an engine, or null.
+  /// @return the last observation of an engine, or null.
   const HeardLimit* find(const EngineId& engine) const;
 
-  /// @return the limit in force, if there is one.
+  /// @return the limit in force, in requests per second.
   std::optional<double> limit(const EngineId& engine) const;
 
-  /// Sets when the engine takes a request next, as far as this node knows.
+  /// Sets when the engine accepts its next request, as far as this node knows.
   void set_next(const EngineId& engine, MonotonicTime at);
 
-  /// @return when the engine takes a request next; nothing where it is not limited.
+  /// @return when the engine accepts its next request; unset if it is unlimited.
   std::optional<MonotonicTime> next(const EngineId& engine) const;
 
-  /// @return whether any engine is limited.
   bool any() const { return this->limited > 0; }
 
  private:
--- a/src/core/relay/engine_model.cpp
+++ b/src/core/relay/engine_model.cpp
@@ -7,30 +7,30 @@
 
 constexpr double kThousand = 1000;
 
-/// Share of its weight that an observation keeps with each one that follows: about fifty count.
+/// Decay of an observation's weight per later one: about fifty have influence.
 constexpr double kKept = 0.98;
 
-/// An observation so far above the fit met a queue that the node could not see.
+/// An observation this far above the fit was probably queued behind other nodes' requests.
 constexpr double kHeldUpFactor = 1.5;
 constexpr double kHeldUpWeight = 0.05;
 
 /// Weight of the defaults, in observations.
 constexpr double kPriorWeight = 0.05;
 
-/// Bounds on what is believed of a token, in milliseconds.
+/// Bounds on the fitted cost per token, in milliseconds.
 constexpr double kLeastTokenMs = 1.0 / 5000;
 constexpr double kMostTokenMs = 1;
 
-/// A decode engine reads at half the pace (the engines' published protocol).
+/// Decode engines prefill at half the speed, according to the engines' protocol.
 constexpr double kDecodeReadingFactor = 2;
 
-/// Until prompts were handed over.
+/// Used until the first handover.
 constexpr double kDefaultHandoverMs = 8;
 
-/// Until parts were fetched.
+/// Used until the first fetch.
 constexpr double kDefaultFetchSetupMs = 5;
 
-/// The pace of an undisturbed stream is close to the quickest that was seen.
+/// Shorter intervals weigh more: the average follows the least loaded streams.
 constexpr double kPaceFall = 0.3;
 constexpr double kPaceRise = 0.01;
 
@@ -58,8 +58,8 @@
   this->sum_xy = this->sum_xy * kKept + weight * thousand_tokens * ms;
 }
 
-/// Two prompts of the defaults stand beside the observations, so that a first one, or several of
-/// one size, still give a line.
+/// Adds two prior observations based on the defaults, so that the fit is defined for a single
+/// observation or for several of one size.
 void ReadingModel::fit() {
   const ReadingModel defaults;
   double weight = this->sum_weight;
--- a/src/core/relay/engine_model.hpp
+++ b/src/core/relay/engine_model.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What work costs at the engines of one service, learned from what requests meet there. The
-/// defaults hold only until the first observations.
+/// Cost model for the engines of one service, learned from completed requests. Defaults apply until
+/// the first observations.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,20 @@
 
 namespace shuntbank::relay {
 
-/// Time that an idle engine takes for a prompt: a fixed part, and one for each token that it has to
-/// read. Both come from a least-squares fit that forgets old prompts.
+/// Prefill time of an idle engine: a fixed cost plus a cost per uncached token, from a
+/// least-squares fit with exponential decay.
 class ReadingModel {
  public:
-  /// @return milliseconds that an engine takes for so many tokens that it does not keep.
+  /// @return prefill time in milliseconds for uncached tokens.
   double read_ms(double unread_tokens) const;
 
-  /// @return the part of `read_ms` that does not depend on the tokens, in milliseconds.
+  /// @return the fixed part of `prefill_ms`, in milliseconds.
   double setup_ms() const { return this->fixed_ms; }
 
-  /// @return milliseconds for one token.
+  /// @return milliseconds per uncached token.
   double token_ms() const { return this->each_token_ms; }
 
-  /// Learns from a prompt that was read.
+  /// Learns from a completed prefill.
   void observe(std::uint64_t unread_tokens, Duration took);
 
  private:
@@ -33,7 +33,7 @@
   double each_token_ms = 1.0 / 40;
   std::uint64_t count = 0;
 
-  // Sums of the fit, over thousands of tokens (x) and milliseconds (y).
+  // Weighted sums of the fit, over thousands of tokens (x) and milliseconds (y).
   double sum_weight = 0;
   double sum_x = 0;
   double sum_y = 0;
@@ -61,25 +61,25 @@
  public:
   const ReadingModel& reading() const { return this->prompt_reading; }
 
-  /// Learns from a prompt that was read at an engine which was idle as far as the node knew.
-  /// @param deferred it gave way to others, and so tells nothing unless it was quicker than
-  /// expected.
+  /// Learns from a completed prefill.
+  /// @param alone the engine was idle as far as this node knew. Otherwise the time may include
+  /// queueing and counts only if it is less than expected.
   void on_prompt_read(std::uint64_t unread_tokens, Duration took, bool deferred);
 
-  /// @return milliseconds that a decode engine takes for tokens which it reads itself.
+  /// @return prefill time in milliseconds at a decode engine.
   double decode_read_ms(double unread_tokens) const;
 
-  /// @return milliseconds from handing a prompt over to the first event, moving included.
+  /// @return milliseconds from handover to the first event, including the transfer.
   double handover_ms() const;
-  /// @param deferred it gave way to others, and so tells nothing unless it was quicker than usual.
+  /// @param deferred it may have been queued, and counts only if it was faster than usual.
   void on_handed_over(Duration took, bool deferred);
 
-  /// @return milliseconds that taking parts from another engine costs, apart from moving the bytes.
+  /// @return milliseconds that fetching parts from another engine takes, excluding the transfer.
   double fetch_setup_ms() const;
-  /// Learns from a prompt that was read at an idle engine after parts had been fetched.
+  /// Learns from a prefill at an idle engine that fetched parts first.
   void on_fetched(std::uint64_t unread_tokens, double move_ms, Duration took);
 
-  /// @return milliseconds between the events of a stream that nothing holds up, or 0 if unknown.
+  /// @return milliseconds between the events of a stream at an unloaded engine, or 0 if unknown.
   double free_pace_ms() const;
   void on_stream_pace(Duration between_events);
 
--- a/src/core/relay/engine_news.hpp
+++ b/src/core/relay/engine_news.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What nodes have met and read at the engines, as they tell each other.
+/// Engine updates that nodes exchange.
 #pragma once
 
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace shuntbank::relay {
 
-/// A prompt that an engine has read.
+/// A prompt that an engine has prefilled; see PromptRead.
 struct KeyedRead {
   EngineKey engine = 0;
   std::vector<PromptPart> parts;
@@ -18,7 +18,7 @@
   bool operator==(const KeyedRead&) const = default;
 };
 
-/// Trouble that a node has met at an engine; see EngineTrouble.
+/// A problem that a node met at an engine; see EngineTrouble.
 struct KeyedTrouble {
   EngineKey engine = 0;
   EngineStage stage = EngineStage::kNone;
@@ -27,7 +27,7 @@
   bool operator==(const KeyedTrouble&) const = default;
 };
 
-/// A changed limit of an engine.
+/// A changed rate limit of an engine.
 struct KeyedLimit {
   EngineKey engine = 0;
   ToldLimit limit;
@@ -35,7 +35,7 @@
   bool operator==(const KeyedLimit&) const = default;
 };
 
-/// What happened at engines since the last message.
+/// Events at engines since the last message.
 struct EngineNews {
   std::vector<KeyedRead> reads;
   std::vector<KeyedTrouble> troubles;
--- a/src/core/relay/engine_notice.cpp
+++ b/src/core/relay/engine_notice.cpp
@@ -6,10 +6,10 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Starts of engines that leave and are remembered as such: six times the engines of a large fleet.
+/// Draining engines remembered: six times the size of a large fleet.
 constexpr std::size_t kMostLeaving = 4096;
 
-/// Rests that are kept before those that are over are looked for.
+/// Cooldowns stored before expired ones are erased.
 constexpr std::size_t kManyRests = 1024;
 
 }  // namespace
--- a/src/core/relay/engine_notice.hpp
+++ b/src/core/relay/engine_notice.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// What engines say of themselves in the heads of their answers, remembered by start of an engine.
-/// An engine's own word needs no second source: it holds also while the store is silent, outlives
-/// the entry, and is not weighed against what this node concludes from failures.
+/// Notices that engines put in the headers of their answers, kept per incarnation. They apply even
+/// while the store is unavailable or the engine's record is missing, and independently of failures.
 #pragma once
 
 #include <cstddef>
@@ -15,37 +14,36 @@
 
 namespace shuntbank::relay {
 
-/// The words of one head.
+/// The notices in the headers of one answer.
 struct EngineNotice {
-  bool leaving = false;          ///< It will end, and wants no new request from anyone.
-  std::optional<Duration> rest;  ///< It wants no request from this node for so long.
-  /// It takes so many requests a second from all nodes together, for as long as it says so.
+  bool leaving = false;          ///< It is shutting down and wants no new requests.
+  std::optional<Duration> rest;  ///< It wants no requests from this node for this long.
+  /// Requests per second that it accepts from all nodes together, until it says otherwise.
   std::optional<double> limit;
-  bool names_limit = false;  ///< Also where the limit cannot be read.
+  bool names_limit = false;  ///< A limit was sent, possibly malformed.
 
   bool operator==(const EngineNotice&) const = default;
 };
 
-/// The longest rest that is kept. Whoever asks for more is as good as gone for callers; where that
-/// was a mistake, the engine serves again after ten minutes, and not after a day.
+/// Longer cooldowns are cut to this, so that a faulty value does not disable an engine for long.
 constexpr Duration kLongestRest = std::chrono::minutes(10);
 
-/// All that engines have said. A word ends with its start of the engine, or at its time.
+/// The notices in force of all engines, by incarnation.
 class EngineNotices {
  public:
-  /// An engine leaves. @return whether that is news.
+  /// Marks an engine as draining. @return whether it was not marked before.
   bool on_leaving(const EngineId& engine);
 
-  /// An engine wants no request for so long. A shorter wait does not end a longer one.
-  /// @return until when it rests.
+  /// Starts a cooldown. A shorter one does not end a longer one.
+  /// @return the end of the cooldown.
   MonotonicTime on_rest(MonotonicTime now, const EngineId& engine, Duration rest);
 
   bool leaving(const EngineId& engine) const { return this->leaving_starts.count(engine) > 0; }
 
-  /// @return until when an engine rests; long ago where it has not asked for it.
+  /// @return the end of the engine's last cooldown, or a time long past.
   MonotonicTime rests_until(const EngineId& engine) const;
 
-  /// @return whether the engine has said that it wants no request now.
+  /// @return whether the engine is draining or in cooldown.
   bool wants_none(MonotonicTime now, const EngineId& engine) const {
     return this->leaving(engine) || this->rests_until(engine) > now;
   }
--- a/src/core/relay/engine_stage.hpp
+++ b/src/core/relay/engine_stage.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// The part that a model engine plays.
+/// The serving stage of a model engine.
 #pragma once
 
 namespace shuntbank::relay {
 
-/// What a model engine does.
+/// The stage that an engine serves.
 enum class EngineStage {
   kNone,     ///< The engine of a plain service.
-  kPrefill,  ///< Reads prompts and hands them over.
-  kDecode,   ///< Makes tokens; may read prompts as well.
+  kPrefill,  ///< Prefills prompts and hands them over to decode engines.
+  kDecode,   ///< Generates tokens; may also prefill.
 };
 
 /// @return `none`, `prefill` or `decode`.
--- a/src/core/relay/engine_trouble.hpp
+++ b/src/core/relay/engine_trouble.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// What a node has met at an engine and tells the others, so that each need not find out for
-/// itself.
+/// Problems with an engine that a node reports to the others.
 #pragma once
 
 #include "common/identifiers.hpp"
@@ -8,17 +7,17 @@
 
 namespace shuntbank::relay {
 
-/// What was met.
+/// Kind of problem.
 enum class TroubleKind {
-  kUnusable,     ///< It could not be reached, or refuses though it has room.
-  kMisdirected,  ///< Another start of an engine has the address, or it has another stage.
-  kLeaving,      ///< It has said that it will end; true for all nodes, and for good.
+  kUnusable,     ///< It is unreachable, or refuses requests despite free slots.
+  kMisdirected,  ///< The address serves another incarnation, or the stage differs.
+  kLeaving,      ///< It announced its shutdown, to all nodes and irrevocably.
 };
 
-/// One trouble.
+/// A problem that a node met at an engine.
 struct EngineTrouble {
   EngineId engine;
-  EngineStage stage = EngineStage::kNone;  ///< That the node took it to have.
+  EngineStage stage = EngineStage::kNone;  ///< As known to the reporting node.
   TroubleKind kind = TroubleKind::kUnusable;
 
   bool operator==(const EngineTrouble&) const = default;
