--- a/src/core/relay/catalog_revisions.hpp
+++ b/src/core/relay/catalog_revisions.hpp
@@ -19,13 +19,13 @@
 /// A node's progress in reading the store, as reported to other nodes.
 struct StoreProgress {
   CatalogRevisions seen;
-  MonotonicTime latest_at{};  ///< When the store last confirmed `seen` as the newest.
+  MonotonicTime confirmed_at{};  ///< When the store last confirmed `seen` as the newest.
 };
 
 /// What one node knows of the store readers.
 struct StoreReaders {
-  bool self = false;         ///< This node is a store reader.
-  MonotonicTime heard_at{};  ///< When the store last confirmed the state to any reader.
+  bool self = false;             ///< This node is a store reader.
+  MonotonicTime confirmed_at{};  ///< When the store last confirmed the state to any reader.
 
   bool operator==(const StoreReaders&) const = default;
 };
--- a/src/core/relay/crash_ledger.cpp
+++ b/src/core/relay/crash_ledger.cpp
@@ -8,83 +8,85 @@
 namespace {
 
 /// Interval between checks of one engine; a live engine answers within a few milliseconds.
-constexpr Duration kAskAgain = std::chrono::milliseconds(500);
+constexpr Duration kLivenessCheckInterval = std::chrono::milliseconds(500);
 
 /// Interruptions of a request from which on its engines are checked.
-constexpr std::size_t kAskFrom = 2;
+constexpr std::size_t kMinInterruptionsToCheck = 2;
 
 }  // namespace
 
-std::size_t CrashLedger::count_broken(const Suspect& suspect) {
-  return static_cast<std::size_t>(
-      std::count_if(suspect.engines.begin(), suspect.engines.end(),
-                    [](const auto& entry) { return entry.second.ended || !entry.second.silent; }));
+std::size_t CrashLedger::count_interruptions(const Suspect& suspect) {
+  return static_cast<std::size_t>(std::count_if(
+      suspect.engines.begin(), suspect.engines.end(),
+      [](const auto& entry) { return entry.second.crashed || !entry.second.silent; }));
 }
 
-std::size_t CrashLedger::count_ended(const Suspect& suspect) {
+std::size_t CrashLedger::count_crashes(const Suspect& suspect) {
   return static_cast<std::size_t>(
       std::count_if(suspect.engines.begin(), suspect.engines.end(),
-                    [](const auto& entry) { return entry.second.ended; }));
+                    [](const auto& entry) { return entry.second.crashed; }));
 }
 
-bool CrashLedger::on_trial(MonotonicTime now, const Suspect& suspect) const {
-  return suspect.trial && now - suspect.trial->since <= this->settings.longest_trial;
+bool CrashLedger::has_active_trial(MonotonicTime now, const Suspect& suspect) const {
+  return suspect.trial && now - suspect.trial->started_at <= this->settings.max_trial_duration;
 }
 
-std::set<CallerKey> CrashLedger::callers_of(const Suspect& suspect) {
+std::set<CallerKey> CrashLedger::crash_callers(const Suspect& suspect) {
   std::set<CallerKey> callers;
-  for (const auto& [engine, broken] : suspect.engines) {
-    if (broken.ended) callers.insert(broken.caller);
+  for (const auto& [engine, interruption] : suspect.engines) {
+    if (interruption.crashed) callers.insert(interruption.caller);
   }
   return callers;
 }
 
-CrashStanding CrashLedger::standing(MonotonicTime now, const TriedRequest& tried) const {
-  const auto found = this->suspects.find(tried.request);
+SuspectStatus CrashLedger::status(MonotonicTime now, const TriedRequest& attempt) const {
+  const auto found = this->suspects.find(attempt.request);
   if (found == this->suspects.end()) return {};
   const Suspect& suspect = found->second;
-  CrashStanding standing;
-  standing.broken = count_broken(suspect);
-  standing.ended = count_ended(suspect);
-  standing.under_way = this->on_trial(now, suspect);
-  if (!suspect.held_until || *suspect.held_until <= now) return standing;
-  const auto callers = callers_of(suspect);
-  if (callers.size() > 1 || callers.count(tried.caller) > 0) {
-    standing.held_for = *suspect.held_until - now;
+  SuspectStatus status;
+  status.interruptions = count_interruptions(suspect);
+  status.crashes = count_crashes(suspect);
+  status.in_flight = this->has_active_trial(now, suspect);
+  if (!suspect.quarantined_until || *suspect.quarantined_until <= now) return status;
+  const auto callers = crash_callers(suspect);
+  if (callers.size() > 1 || callers.count(attempt.caller) > 0) {
+    status.quarantine_left = *suspect.quarantined_until - now;
   }
-  return standing;
+  return status;
 }
 
-void CrashLedger::on_broken(MonotonicTime at, const BrokenRequest& broken) {
+void CrashLedger::on_interrupted(MonotonicTime at, const InterruptedRequest& interrupted) {
   // Overload causes timeouts by the thousand, and these must not displace real evidence.
-  if (broken.silent && this->suspects.size() >= this->settings.most_suspects / 2) return;
-  const auto answered = this->lived.find(broken.engine);
-  if (answered != this->lived.end() && at < answered->second) return;
-  const RequestIdentity& request = broken.tried.request;
-  if (this->suspects.count(request) == 0) this->make_room();
+  if (interrupted.silent && this->suspects.size() >= this->settings.max_suspects / 2) return;
+  const auto answered = this->last_answers.find(interrupted.engine);
+  if (answered != this->last_answers.end() && at < answered->second) return;
+  const RequestIdentity& request = interrupted.attempt.request;
+  if (this->suspects.count(request) == 0) this->evict_if_full();
   Suspect& suspect = this->suspects[request];
   if (at <= suspect.cleared_at) return;
-  if (suspect.trial && suspect.trial->engine == broken.engine) suspect.trial.reset();
-  suspect.last = std::max(suspect.last, at);
+  if (suspect.trial && suspect.trial->engine == interrupted.engine) suspect.trial.reset();
+  suspect.last_event_at = std::max(suspect.last_event_at, at);
   const auto [entry, added] = suspect.engines.try_emplace(
-      broken.engine, Broken{at, broken.tried.caller, broken.silent, broken.heard, false});
+      interrupted.engine, Interruption{at, interrupted.attempt.caller, interrupted.silent,
+                                       interrupted.from_peer, false});
   if (!added) {
-    entry->second.silent = entry->second.silent && broken.silent;
-    entry->second.heard = entry->second.heard && broken.heard;
+    entry->second.silent = entry->second.silent && interrupted.silent;
+    entry->second.from_peer = entry->second.from_peer && interrupted.from_peer;
   }
-  if (this->ends.count(broken.engine) == 0 || std::exchange(entry->second.ended, true)) return;
-  this->judge(at, request, suspect);
+  if (this->crashes.count(interrupted.engine) == 0 || std::exchange(entry->second.crashed, true))
+    return;
+  this->evaluate(at, request, suspect);
 }
 
-bool CrashLedger::heard_of(const RequestIdentity& request) const {
+bool CrashLedger::reported_by_peer(const RequestIdentity& request) const {
   const auto found = this->suspects.find(request);
   if (found == this->suspects.end()) return false;
   const auto& engines = found->second.engines;
   return std::any_of(engines.begin(), engines.end(),
-                     [](const auto& entry) { return entry.second.heard; });
+                     [](const auto& entry) { return entry.second.from_peer; });
 }
 
-std::vector<RequestIdentity> CrashLedger::broken_by(EngineKey engine) const {
+std::vector<RequestIdentity> CrashLedger::interrupted_by(EngineKey engine) const {
   std::vector<RequestIdentity> requests;
   for (const auto& [request, suspect] : this->suspects) {
     if (suspect.engines.count(engine) > 0) requests.push_back(request);
@@ -92,32 +94,34 @@
   return requests;
 }
 
-bool CrashLedger::ended_before(MonotonicTime at, EngineKey engine) const {
-  const auto end = this->ends.find(engine);
-  return end != this->ends.end() && end->second < at;
+bool CrashLedger::crashed_before(MonotonicTime at, EngineKey engine) const {
+  const auto crash = this->crashes.find(engine);
+  return crash != this->crashes.end() && crash->second < at;
 }
 
-void CrashLedger::on_engine_ended(MonotonicTime now, EngineKey engine) {
-  this->ends.try_emplace(engine, now);
+void CrashLedger::on_engine_crashed(MonotonicTime now, EngineKey engine) {
+  this->crashes.try_emplace(engine, now);
   for (auto& [request, suspect] : this->suspects) {
-    const auto broken = suspect.engines.find(engine);
-    if (broken == suspect.engines.end() || std::exchange(broken->second.ended, true)) continue;
-    this->judge(now, request, suspect);
+    const auto interruption = suspect.engines.find(engine);
+    if (interruption == suspect.engines.end() || std::exchange(interruption->second.crashed, true))
+      continue;
+    this->evaluate(now, request, suspect);
   }
 }
 
 void CrashLedger::on_engine_answered(MonotonicTime sent_at, EngineKey engine) {
-  this->ends.erase(engine);
-  MonotonicTime& last = this->lived[engine];
-  last = std::max(last, sent_at);
+  this->crashes.erase(engine);
+  MonotonicTime& last_answer = this->last_answers[engine];
+  last_answer = std::max(last_answer, sent_at);
   for (auto& [request, suspect] : this->suspects) {
-    const auto broken = suspect.engines.find(engine);
-    if (broken == suspect.engines.end() || broken->second.at >= sent_at) continue;
-    suspect.engines.erase(broken);
-    if (!suspect.held_until || count_ended(suspect) >= this->settings.enough) continue;
-    suspect.held_until.reset();
-    suspect.let_go = true;
-    this->held_back.erase(request);
+    const auto interruption = suspect.engines.find(engine);
+    if (interruption == suspect.engines.end() || interruption->second.at >= sent_at) continue;
+    suspect.engines.erase(interruption);
+    if (!suspect.quarantined_until || count_crashes(suspect) >= this->settings.quarantine_threshold)
+      continue;
+    suspect.quarantined_until.reset();
+    suspect.released = true;
+    this->quarantined_requests.erase(request);
   }
 }
 
@@ -128,9 +132,9 @@
   suspect.cleared_at = std::max(suspect.cleared_at, at);
   std::erase_if(suspect.engines, [at](const auto& entry) { return entry.second.at <= at; });
   suspect.trial.reset();
-  if (std::exchange(suspect.held_until, std::nullopt)) suspect.let_go = true;
-  suspect.last = at;
-  this->held_back.erase(request);
+  if (std::exchange(suspect.quarantined_until, std::nullopt)) suspect.released = true;
+  suspect.last_event_at = at;
+  this->quarantined_requests.erase(request);
 }
 
 void CrashLedger::begin_trial(MonotonicTime now, const RequestIdentity& request, EngineKey engine) {
@@ -144,158 +148,164 @@
   if (found != this->suspects.end()) found->second.trial.reset();
 }
 
-std::set<EngineKey> CrashLedger::engines_on_trial(MonotonicTime now,
-                                                  const RequestIdentity& request) const {
+std::set<EngineKey> CrashLedger::trial_engines(MonotonicTime now,
+                                               const RequestIdentity& request) const {
   std::set<EngineKey> engines;
   for (const auto& [other, suspect] : this->suspects) {
-    if (other != request && this->on_trial(now, suspect)) engines.insert(suspect.trial->engine);
+    if (other != request && this->has_active_trial(now, suspect))
+      engines.insert(suspect.trial->engine);
   }
   return engines;
 }
 
-void CrashLedger::on_held_again(MonotonicTime now, const RequestIdentity& request) {
+void CrashLedger::extend_quarantine(MonotonicTime now, const RequestIdentity& request) {
   const auto found = this->suspects.find(request);
-  if (found == this->suspects.end() || !found->second.held_until) return;
-  found->second.held_until = now + this->settings.hold;
+  if (found == this->suspects.end() || !found->second.quarantined_until) return;
+  found->second.quarantined_until = now + this->settings.quarantine_duration;
 }
 
-void CrashLedger::restore(MonotonicTime now, const HeldRequest& held) {
-  if (this->suspects.count(held.request) == 0) this->make_room();
-  Suspect& suspect = this->suspects[held.request];
-  if (suspect.let_go) return;
+void CrashLedger::restore(MonotonicTime now, const QuarantinedRequest& entry) {
+  if (this->suspects.count(entry.request) == 0) this->evict_if_full();
+  Suspect& suspect = this->suspects[entry.request];
+  if (suspect.released) return;
   // Which caller goes with which engine is not stored and no longer matters.
-  auto caller = held.callers.begin();
-  for (const EngineKey engine : held.ended) {
-    suspect.engines[engine] = Broken{now, *caller, false, true, true};
-    if (std::next(caller) != held.callers.end()) ++caller;
+  auto caller = entry.callers.begin();
+  for (const EngineKey engine : entry.crashed_engines) {
+    suspect.engines[engine] = Interruption{now, *caller, false, true, true};
+    if (std::next(caller) != entry.callers.end()) ++caller;
   }
-  suspect.held_callers = held.callers.size();
-  suspect.last = now;
-  suspect.held_until = now + std::clamp(held.left, Duration::zero(), this->settings.hold);
-  this->held_back.insert(held.request);
+  suspect.quarantined_callers = entry.callers.size();
+  suspect.last_event_at = now;
+  suspect.quarantined_until =
+      now + std::clamp(entry.time_left, Duration::zero(), this->settings.quarantine_duration);
+  this->quarantined_requests.insert(entry.request);
 }
 
 std::vector<CrashEvidence> CrashLedger::evidence(const RequestIdentity& request) const {
   std::vector<CrashEvidence> evidence;
   const auto found = this->suspects.find(request);
   if (found == this->suspects.end()) return evidence;
-  for (const auto& [engine, broken] : found->second.engines) {
-    if (broken.ended || !broken.silent)
-      evidence.push_back({engine, broken.caller, broken.at, broken.ended});
+  for (const auto& [engine, interruption] : found->second.engines) {
+    if (interruption.crashed || !interruption.silent)
+      evidence.push_back({engine, interruption.caller, interruption.at, interruption.crashed});
   }
   return evidence;
 }
 
-std::vector<EngineKey> CrashLedger::take_questions(MonotonicTime now) {
-  std::set<EngineKey> open;
+std::vector<EngineKey> CrashLedger::take_liveness_checks(MonotonicTime now) {
+  std::set<EngineKey> unconfirmed;
   for (const auto& [request, suspect] : this->suspects) {
-    if (count_broken(suspect) < kAskFrom) continue;
-    for (const auto& [engine, broken] : suspect.engines) {
-      if (!broken.ended && !broken.silent && !broken.heard) open.insert(engine);
+    if (count_interruptions(suspect) < kMinInterruptionsToCheck) continue;
+    for (const auto& [engine, interruption] : suspect.engines) {
+      if (!interruption.crashed && !interruption.silent && !interruption.from_peer)
+        unconfirmed.insert(engine);
     }
   }
-  std::erase_if(this->asked, [&](const auto& entry) { return open.count(entry.first) == 0; });
-  std::vector<EngineKey> questions;
-  for (const EngineKey engine : open) {
-    const auto [asked_at, first] = this->asked.try_emplace(engine, now);
-    if (!first && now - asked_at->second < kAskAgain) continue;
+  std::erase_if(this->last_checks,
+                [&](const auto& entry) { return unconfirmed.count(entry.first) == 0; });
+  std::vector<EngineKey> checks;
+  for (const EngineKey engine : unconfirmed) {
+    const auto [asked_at, first] = this->last_checks.try_emplace(engine, now);
+    if (!first && now - asked_at->second < kLivenessCheckInterval) continue;
     asked_at->second = now;
-    questions.push_back(engine);
+    checks.push_back(engine);
   }
-  return questions;
+  return checks;
 }
 
 /// @return whether the engine's crash is already attributed to another quarantined request.
-bool CrashLedger::accounted_for(EngineKey engine, const RequestIdentity& request) const {
-  return std::any_of(this->held_back.begin(), this->held_back.end(), [&](const auto& guilty) {
-    if (guilty == request) return false;
-    const auto found = this->suspects.find(guilty);
-    return found != this->suspects.end() && found->second.engines.count(engine) > 0;
-  });
+bool CrashLedger::explained_by_quarantine(EngineKey engine, const RequestIdentity& request) const {
+  return std::any_of(
+      this->quarantined_requests.begin(), this->quarantined_requests.end(), [&](const auto& other) {
+        if (other == request) return false;
+        const auto found = this->suspects.find(other);
+        return found != this->suspects.end() && found->second.engines.count(engine) > 0;
+      });
 }
 
-void CrashLedger::judge(MonotonicTime now, const RequestIdentity& request, Suspect& suspect) {
-  std::size_t ended = 0;
-  std::size_t own = 0;
-  for (const auto& [engine, broken] : suspect.engines) {
-    if (!broken.ended) continue;
-    ++ended;
-    if (!this->accounted_for(engine, request)) ++own;
+void CrashLedger::evaluate(MonotonicTime now, const RequestIdentity& request, Suspect& suspect) {
+  std::size_t crash_count = 0;
+  std::size_t unexplained = 0;
+  for (const auto& [engine, interruption] : suspect.engines) {
+    if (!interruption.crashed) continue;
+    ++crash_count;
+    if (!this->explained_by_quarantine(engine, request)) ++unexplained;
   }
-  const bool enough = own >= this->settings.enough || ended >= this->settings.enough_in_any_case;
-  if (!suspect.held_until && !enough) return;
-  const std::size_t callers = callers_of(suspect).size();
-  if (suspect.held_until && callers <= suspect.held_callers) return;
-  suspect.held_until = now + this->settings.hold;
-  suspect.held_callers = callers;
-  this->held_back.insert(request);
-  this->verdicts.push_back(request);
+  const bool over_threshold = unexplained >= this->settings.quarantine_threshold ||
+                              crash_count >= this->settings.unconditional_threshold;
+  if (!suspect.quarantined_until && !over_threshold) return;
+  const std::size_t callers = crash_callers(suspect).size();
+  if (suspect.quarantined_until && callers <= suspect.quarantined_callers) return;
+  suspect.quarantined_until = now + this->settings.quarantine_duration;
+  suspect.quarantined_callers = callers;
+  this->quarantined_requests.insert(request);
+  this->new_quarantines.push_back(request);
 }
 
-std::vector<HeldRequest> CrashLedger::take_verdicts(MonotonicTime now) {
-  const auto fresh = std::exchange(this->verdicts, {});
-  std::vector<HeldRequest> taken = this->held(now);
-  std::erase_if(taken, [&](const HeldRequest& held) {
-    return std::find(fresh.begin(), fresh.end(), held.request) == fresh.end();
+std::vector<QuarantinedRequest> CrashLedger::take_new_quarantines(MonotonicTime now) {
+  const auto changed = std::exchange(this->new_quarantines, {});
+  std::vector<QuarantinedRequest> taken = this->quarantined(now);
+  std::erase_if(taken, [&](const QuarantinedRequest& entry) {
+    return std::find(changed.begin(), changed.end(), entry.request) == changed.end();
   });
   return taken;
 }
 
-std::vector<HeldRequest> CrashLedger::held(MonotonicTime now) const {
-  std::vector<HeldRequest> held;
-  for (const RequestIdentity& request : this->held_back) {
+std::vector<QuarantinedRequest> CrashLedger::quarantined(MonotonicTime now) const {
+  std::vector<QuarantinedRequest> quarantined;
+  for (const RequestIdentity& request : this->quarantined_requests) {
     const Suspect& suspect = this->suspects.at(request);
-    if (!suspect.held_until || *suspect.held_until <= now) continue;
-    HeldRequest entry{request, {}, callers_of(suspect), *suspect.held_until - now};
-    for (const auto& [engine, broken] : suspect.engines) {
-      if (broken.ended) entry.ended.push_back(engine);
+    if (!suspect.quarantined_until || *suspect.quarantined_until <= now) continue;
+    QuarantinedRequest entry{request, {}, crash_callers(suspect), *suspect.quarantined_until - now};
+    for (const auto& [engine, interruption] : suspect.engines) {
+      if (interruption.crashed) entry.crashed_engines.push_back(engine);
     }
-    held.push_back(std::move(entry));
+    quarantined.push_back(std::move(entry));
   }
-  return held;
+  return quarantined;
 }
 
 void CrashLedger::expire(MonotonicTime now) {
-  const auto long_ago = [&](const auto& entry) {
-    return now - entry.second > this->settings.ends_remembered;
+  const auto expired = [&](const auto& entry) {
+    return now - entry.second > this->settings.crash_retention;
   };
-  std::erase_if(this->ends, long_ago);
-  std::erase_if(this->lived, long_ago);
+  std::erase_if(this->crashes, expired);
+  std::erase_if(this->last_answers, expired);
   for (auto& [request, suspect] : this->suspects) {
     std::erase_if(suspect.engines, [&](const auto& entry) {
-      return !entry.second.ended && now - entry.second.at > this->settings.proof_within;
+      return !entry.second.crashed && now - entry.second.at > this->settings.confirmation_timeout;
     });
-    if (!suspect.held_until || *suspect.held_until > now) continue;
+    if (!suspect.quarantined_until || *suspect.quarantined_until > now) continue;
     // One more crash quarantines it again.
-    suspect.held_until.reset();
-    this->held_back.erase(request);
-    while (suspect.engines.size() >= this->settings.enough) {
+    suspect.quarantined_until.reset();
+    this->quarantined_requests.erase(request);
+    while (suspect.engines.size() >= this->settings.quarantine_threshold) {
       suspect.engines.erase(suspect.engines.begin());
     }
-    suspect.last = now;
+    suspect.last_event_at = now;
   }
   std::erase_if(this->suspects, [&](const auto& entry) {
     const Suspect& suspect = entry.second;
-    if (suspect.held_until || this->on_trial(now, suspect)) return false;
-    const bool long_remembered = !suspect.engines.empty() || suspect.let_go;
-    const Duration longest =
-        long_remembered ? this->settings.memory : this->settings.ends_remembered;
-    return now - suspect.last > longest;
+    if (suspect.quarantined_until || this->has_active_trial(now, suspect)) return false;
+    const bool relevant = !suspect.engines.empty() || suspect.released;
+    const Duration retention =
+        relevant ? this->settings.suspect_retention : this->settings.crash_retention;
+    return now - suspect.last_event_at > retention;
   });
 }
 
-void CrashLedger::make_room() {
-  if (this->suspects.size() < this->settings.most_suspects) return;
-  const auto weight = [](const Suspect& suspect) {
-    return std::pair(suspect.held_until.has_value(), count_ended(suspect));
+void CrashLedger::evict_if_full() {
+  if (this->suspects.size() < this->settings.max_suspects) return;
+  const auto priority = [](const Suspect& suspect) {
+    return std::pair(suspect.quarantined_until.has_value(), count_crashes(suspect));
   };
-  const auto first = std::min_element(this->suspects.begin(), this->suspects.end(),
-                                      [&](const auto& left, const auto& right) {
-                                        return std::pair(weight(left.second), left.second.last) <
-                                               std::pair(weight(right.second), right.second.last);
-                                      });
-  this->held_back.erase(first->first);
-  this->suspects.erase(first);
+  const auto evicted = std::min_element(
+      this->suspects.begin(), this->suspects.end(), [&](const auto& left, const auto& right) {
+        return std::pair(priority(left.second), left.second.last_event_at) <
+               std::pair(priority(right.second), right.second.last_event_at);
+      });
+  this->quarantined_requests.erase(evicted->first);
+  this->suspects.erase(evicted);
 }
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/crash_ledger.hpp
+++ b/src/core/relay/crash_ledger.hpp
@@ -19,62 +19,62 @@
 struct CrashLedgerSettings {
   /// Crashed engines after which a request is quarantined, not counting crashes that another
   /// quarantined request explains. Requests that are retried together with the cause often see two.
-  std::size_t enough = 3;
+  std::size_t quarantine_threshold = 3;
   /// Crashed engines after which a request is quarantined even if other quarantined requests
   /// explain some of the crashes.
-  std::size_t enough_in_any_case = 4;
+  std::size_t unconditional_threshold = 4;
   /// How long a request is quarantined after its last attempt. Exceeds the retry interval of
   /// callers (30 s) and the restart time of an engine (3 s).
-  Duration hold = std::chrono::minutes(15);
+  Duration quarantine_duration = std::chrono::minutes(15);
   /// How long crashes are remembered for a request that is not quarantined.
-  Duration memory = std::chrono::minutes(10);
+  Duration suspect_retention = std::chrono::minutes(10);
   /// An interruption is discarded unless the engine's crash is confirmed within this time. Exceeds
   /// three heartbeats, after which an unresponsive engine is dropped from the list of engines.
-  Duration proof_within = std::chrono::seconds(6);
+  Duration confirmation_timeout = std::chrono::seconds(6);
   /// How long a crash is remembered for late reports: nodes report within a second or two, and a
   /// message may be lost.
-  Duration ends_remembered = std::chrono::seconds(10);
+  Duration crash_retention = std::chrono::seconds(10);
   /// After this time a suspect no longer counts as in flight at an engine.
-  Duration longest_trial = std::chrono::seconds(10);
+  Duration max_trial_duration = std::chrono::seconds(10);
   /// Requests remembered; about 200 bytes each. Evicted by fewest crashes, then by age.
-  std::size_t most_suspects = 2000;
+  std::size_t max_suspects = 2000;
 };
 
 /// Whether a request is suspected of crashing engines, and whether it is quarantined.
-struct CrashStanding {
-  std::size_t broken = 0;            ///< Engines that interrupted it and may have crashed.
-  std::size_t ended = 0;             ///< Those of `interruptions` that are known to have crashed.
-  bool under_way = false;            ///< An engine is running it now.
-  std::optional<Duration> held_for;  ///< Set while it is quarantined.
+struct SuspectStatus {
+  std::size_t interruptions = 0;  ///< Engines that interrupted it and may have crashed.
+  std::size_t crashes = 0;        ///< Those of `interruptions` that are known to have crashed.
+  bool in_flight = false;         ///< An engine is running it now.
+  std::optional<Duration> quarantine_left;  ///< Set while it is quarantined.
 
   /// @return whether an engine may have crashed while running it.
-  bool suspect() const { return this->broken > 0; }
+  bool is_suspect() const { return this->interruptions > 0; }
 };
 
 /// A quarantined request and the crashes attributed to it.
-struct HeldRequest {
+struct QuarantinedRequest {
   RequestIdentity request;
-  std::vector<EngineKey> ended;
+  std::vector<EngineKey> crashed_engines;
   /// Callers whose copies crashed engines. With one caller, only that caller's copies are
   /// quarantined, so that nobody can get another's request refused by sending the same; with
   /// several, everyone's are.
   std::set<CallerKey> callers;
-  Duration left = Duration::zero();
+  Duration time_left = Duration::zero();
 
-  bool for_all() const { return this->callers.size() > 1; }
-  bool operator==(const HeldRequest&) const = default;
+  bool applies_to_all_callers() const { return this->callers.size() > 1; }
+  bool operator==(const QuarantinedRequest&) const = default;
 };
 
 /// A request that an engine did not complete.
-struct BrokenRequest {
-  TriedRequest tried;
+struct InterruptedRequest {
+  TriedRequest attempt;
   EngineKey engine = 0;
   /// The engine stopped responding rather than close the connection; counts only once it is known
   /// to have crashed.
   bool silent = false;
-  bool heard = false;  ///< Reported by another node, which also checks the engine.
+  bool from_peer = false;  ///< Reported by another node, which also checks the engine.
 
-  bool operator==(const BrokenRequest&) const = default;
+  bool operator==(const InterruptedRequest&) const = default;
 };
 
 /// One interruption or crash attributed to a request.
@@ -82,7 +82,7 @@
   EngineKey engine = 0;
   CallerKey caller = 0;
   MonotonicTime at{};
-  bool ended = false;
+  bool crashed = false;
 
   bool operator==(const CrashEvidence&) const = default;
 };
@@ -97,29 +97,31 @@
   bool empty() const { return this->suspects.empty(); }
 
   /// @return the status of a request when sent by this caller.
-  CrashStanding standing(MonotonicTime now, const TriedRequest& tried) const;
+  SuspectStatus status(MonotonicTime now, const TriedRequest& attempt) const;
 
   /// @return whether a request is quarantined for any caller.
-  bool holds(const RequestIdentity& request) const { return this->held_back.count(request) > 0; }
+  bool is_quarantined(const RequestIdentity& request) const {
+    return this->quarantined_requests.count(request) > 0;
+  }
 
   /// @return whether there is a record of a request.
-  bool knows(const RequestIdentity& request) const { return this->suspects.count(request) > 0; }
+  bool contains(const RequestIdentity& request) const { return this->suspects.count(request) > 0; }
 
   /// @return whether other nodes have reported interruptions of a request.
-  bool heard_of(const RequestIdentity& request) const;
+  bool reported_by_peer(const RequestIdentity& request) const;
 
   /// @return the requests that an engine interrupted.
-  std::vector<RequestIdentity> broken_by(EngineKey engine) const;
+  std::vector<RequestIdentity> interrupted_by(EngineKey engine) const;
 
   /// Records that an engine interrupted a request.
-  void on_broken(MonotonicTime at, const BrokenRequest& broken);
+  void on_interrupted(MonotonicTime at, const InterruptedRequest& interrupted);
 
   /// @return whether the engine was already known to have crashed, so that a request sent at `at`
   /// cannot be the cause.
-  bool ended_before(MonotonicTime at, EngineKey engine) const;
+  bool crashed_before(MonotonicTime at, EngineKey engine) const;
 
   /// Records that an engine has crashed.
-  void on_engine_ended(MonotonicTime now, EngineKey engine);
+  void on_engine_crashed(MonotonicTime now, EngineKey engine);
 
   /// Records that an engine answered a request sent at `sent_at`. Earlier interruptions there were
   /// no crashes: they are discarded, and quarantines that rested on them are lifted.
@@ -133,70 +135,69 @@
   void end_trial(const RequestIdentity& request);
 
   /// @return the engines at which suspects other than `request` are in flight.
-  std::set<EngineKey> engines_on_trial(MonotonicTime now, const RequestIdentity& request) const;
+  std::set<EngineKey> trial_engines(MonotonicTime now, const RequestIdentity& request) const;
 
   /// Restarts the quarantine period when a quarantined request is sent again.
-  void on_held_again(MonotonicTime now, const RequestIdentity& request);
+  void extend_quarantine(MonotonicTime now, const RequestIdentity& request);
 
   /// Restores a quarantine from the store or from another node.
-  void restore(MonotonicTime now, const HeldRequest& held);
+  void restore(MonotonicTime now, const QuarantinedRequest& entry);
 
   /// @return the interruptions and crashes attributed to a request.
   std::vector<CrashEvidence> evidence(const RequestIdentity& request) const;
 
   /// @return engines to be checked for a crash: those that interrupted requests of this node.
   /// Limits how often each is returned.
-  std::vector<EngineKey> take_questions(MonotonicTime now);
+  std::vector<EngineKey> take_liveness_checks(MonotonicTime now);
 
   /// @return requests quarantined, or quarantined for more callers, since the last call.
-  std::vector<HeldRequest> take_verdicts(MonotonicTime now);
+  std::vector<QuarantinedRequest> take_new_quarantines(MonotonicTime now);
 
   /// @return all quarantined requests.
-  std::vector<HeldRequest> held(MonotonicTime now) const;
+  std::vector<QuarantinedRequest> quarantined(MonotonicTime now) const;
 
   /// Drops expired evidence and quarantines.
   void expire(MonotonicTime now);
 
  private:
-  struct Broken {
+  struct Interruption {
     MonotonicTime at{};
     CallerKey caller = 0;
     bool silent = false;
-    bool heard = false;
-    bool ended = false;
+    bool from_peer = false;
+    bool crashed = false;
   };
   struct Trial {
     EngineKey engine = 0;
-    MonotonicTime since{};
+    MonotonicTime started_at{};
   };
   struct Suspect {
-    std::map<EngineKey, Broken> engines;
+    std::map<EngineKey, Interruption> engines;
     std::optional<Trial> trial;
-    std::optional<MonotonicTime> held_until;
-    std::size_t held_callers = 0;  ///< Callers when the quarantine was last announced.
+    std::optional<MonotonicTime> quarantined_until;
+    std::size_t quarantined_callers = 0;  ///< Callers when the quarantine was last announced.
     MonotonicTime cleared_at{};
     /// The quarantine was lifted by new evidence; outdated entries of the store are ignored.
-    bool let_go = false;
-    MonotonicTime last{};
+    bool released = false;
+    MonotonicTime last_event_at{};
   };
   using Suspects = std::map<RequestIdentity, Suspect>;
 
-  bool on_trial(MonotonicTime now, const Suspect& suspect) const;
-  bool accounted_for(EngineKey engine, const RequestIdentity& request) const;
-  void judge(MonotonicTime now, const RequestIdentity& request, Suspect& suspect);
-  void make_room();
-  static std::size_t count_broken(const Suspect& suspect);
-  static std::size_t count_ended(const Suspect& suspect);
-  static std::set<CallerKey> callers_of(const Suspect& suspect);
+  bool has_active_trial(MonotonicTime now, const Suspect& suspect) const;
+  bool explained_by_quarantine(EngineKey engine, const RequestIdentity& request) const;
+  void evaluate(MonotonicTime now, const RequestIdentity& request, Suspect& suspect);
+  void evict_if_full();
+  static std::size_t count_interruptions(const Suspect& suspect);
+  static std::size_t count_crashes(const Suspect& suspect);
+  static std::set<CallerKey> crash_callers(const Suspect& suspect);
 
   CrashLedgerSettings settings;
   Suspects suspects;
-  std::set<RequestIdentity> held_back;
-  std::vector<RequestIdentity> verdicts;  ///< Not yet taken.
-  std::map<EngineKey, MonotonicTime> asked;
-  std::map<EngineKey, MonotonicTime> lived;  ///< Engines that have answered, and what they answered
-                                             ///< was sent when.
-  std::map<EngineKey, MonotonicTime> ends;   ///< Engines known to have ended, and since when.
+  std::set<RequestIdentity> quarantined_requests;
+  std::vector<RequestIdentity> new_quarantines;  ///< Not yet taken.
+  std::map<EngineKey, MonotonicTime> last_checks;
+  std::map<EngineKey, MonotonicTime> last_answers;  ///< When the latest answered request was sent.
+  std::map<EngineKey, MonotonicTime> crashes;       ///< When an engine was found to have crashed.
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/crash_report.hpp
+++ b/src/core/relay/crash_report.hpp
@@ -9,21 +9,21 @@
 
 namespace shuntbank::relay {
 
-enum class CrashNews : std::uint8_t {
-  kBroken,    ///< The engine interrupted the request and may have crashed.
-  kEnded,     ///< As `kInterrupted`, and the crash is confirmed.
-  kCleared,   ///< The request completed, or an operator released it.
-  kOnTrial,   ///< A suspect request is sent to the engine.
-  kLives,     ///< The engine answered, so earlier interruptions were no crashes.
-  kOffTrial,  ///< The request no longer runs there; the outcome is inconclusive.
+enum class CrashEvent : std::uint8_t {
+  kInterrupted,   ///< The engine interrupted the request and may have crashed.
+  kCrashed,       ///< As `kInterrupted`, and the crash is confirmed.
+  kCleared,       ///< The request completed, or an operator released it.
+  kTrialStarted,  ///< A suspect request is sent to the engine.
+  kAlive,         ///< The engine answered, so earlier interruptions were no crashes.
+  kTrialEnded,    ///< The request no longer runs there; the outcome is inconclusive.
 };
 
 /// Highest value, for validation when decoding.
-constexpr CrashNews kLastCrashNews = CrashNews::kOffTrial;
+constexpr CrashEvent kLastCrashEvent = CrashEvent::kTrialEnded;
 
 /// A report about one request, sent several times to survive message loss.
 struct CrashReport {
-  CrashNews news = CrashNews::kBroken;
+  CrashEvent event = CrashEvent::kInterrupted;
   RequestIdentity request;
   EngineKey engine = 0;      ///< 0 for `kCleared`.
   CallerKey caller = 0;      ///< The sender of the request; 0 for `kCleared`.
--- a/src/core/relay/dispatch_choice.cpp
+++ b/src/core/relay/dispatch_choice.cpp
@@ -14,7 +14,7 @@
 }
 
 double streams_at(MonotonicTime now, const EngineDirectory& engines, const Placement& placement) {
-  return engines.find(placement.engine)->requests_there(now);
+  return engines.find(placement.engine)->total_requests(now);
 }
 
 /// @return milliseconds from the reading of a prompt apart to its first token.
@@ -28,7 +28,7 @@
                         const DispatchQuery& query, const Placement& decode,
                         const PrefillSettings& settings) {
   const EngineModel& model = engines.model_of(query.placement.service->name);
-  const double reading = model.decode_read_ms(static_cast<double>(decode.unread_tokens));
+  const double reading = model.decode_prefill_ms(static_cast<double>(decode.unread_tokens));
   const double streams = streams_at(now, engines, decode);
   return decode.cost_ms + reading * streams * settings.held_up_stream_weight;
 }
@@ -40,8 +40,8 @@
   if (target <= 0) return true;
   const EngineModel& model = engines.model_of(query.placement.service->name);
   const EngineView& engine = *engines.find(decode.engine);
-  const double pace = engine.recent_pace_ms(now, model.free_pace_ms());
-  const double reading = model.decode_read_ms(static_cast<double>(decode.unread_tokens));
+  const double pace = engine.recent_event_interval_ms(now, model.unloaded_event_interval_ms());
+  const double reading = model.decode_prefill_ms(static_cast<double>(decode.unread_tokens));
   return pace + reading <= target * settings.pause_share;
 }
 
@@ -57,7 +57,7 @@
                                       const PrefillSettings& prefill) {
   auto reader = place_at(now, engines, query, EngineStage::kPrefill, placement);
   if (!reader || query.budget >= prefill.least_budget) return reader;
-  const bool avoided = engines.find(reader->engine)->avoided_until > now;
+  const bool avoided = engines.find(reader->engine)->backoff_until > now;
   return query.extra || avoided ? std::nullopt : reader;
 }
 
@@ -125,7 +125,7 @@
                                                  const PlacementSettings& placement,
                                                  const PrefillSettings& prefill) {
   const auto first =
-      engines.first_return(now, query.placement.service->name, query.placement.avoid);
+      engines.next_available_at(now, query.placement.service->name, query.placement.avoid);
   if (!first) return std::nullopt;
   const auto choice = choose_path(*first, engines, query, placement, prefill);
   if (!choice) return std::nullopt;
--- a/src/core/relay/engine_directory.hpp
+++ b/src/core/relay/engine_directory.hpp
@@ -46,7 +46,7 @@
 };
 
 /// @return the id of an engine incarnation; the name alone if the start time is unknown (0).
-EngineId start_id(const std::string& name, std::uint64_t started_unix_ms);
+EngineId incarnation_id(const std::string& name, std::uint64_t started_unix_ms);
 
 /// Load that an engine reported with an answer.
 struct ReportedLoad {
@@ -57,7 +57,7 @@
 
 /// Prefill work that an attempt causes at an engine.
 struct PromptWork {
-  std::uint64_t unread_tokens = 0;
+  std::uint64_t prefill_tokens = 0;
   bool deferred = false;  ///< Queued behind all prompts that can meet their deadlines.
 
   bool operator==(const PromptWork&) const = default;
@@ -74,33 +74,35 @@
   EngineRecord record;
   EngineKey key = 0;                  ///< Its key in load sums.
   std::uint32_t in_flight = 0;        ///< Attempts of this node.
-  std::uint64_t unread_tokens = 0;    ///< Pending prefill of this node's requests.
+  std::uint64_t prefill_tokens = 0;   ///< Pending prefill of this node's requests.
   std::uint64_t deferred_tokens = 0;  ///< Deferred part of `prefill_tokens`.
   std::optional<ReportedLoad> load;   ///< The last report.
   MonotonicTime load_at{};
   std::uint32_t in_flight_at_report = 0;
-  std::optional<PeerLoad> peers;  ///< Of all other nodes; unset while none reports.
-  PeerLoad heard;                 ///< Sum of the other nodes' own reports.
-  std::uint32_t failures_in_a_row = 0;
-  std::uint32_t refusals_in_a_row = 0;
-  MonotonicTime avoided_until{};  ///< Set after failures: not chosen while others can be.
+  std::optional<PeerLoad> peer_load;  ///< Of all other nodes; unset while none reports.
+  PeerLoad reported_peer_load;        ///< Sum of the other nodes' own reports.
+  std::uint32_t consecutive_failures = 0;
+  std::uint32_t consecutive_refusals = 0;
+  MonotonicTime backoff_until{};  ///< Set after failures: not chosen while others can be.
   /// Requested by the engine. Unlike `backoff_until`, applies even if no other engine can be
   /// chosen.
-  MonotonicTime rests_until{};
+  MonotonicTime cooldown_until{};
   /// When a rate-limited engine accepts its next request, as far as this node knows; unset if it is
   /// unlimited.
   std::optional<MonotonicTime> next_permit_at;
-  bool ended = false;         ///< Nothing listens at its address any more.
-  MonotonicTime last_good{};  ///< The last successful attempt.
-  double failure_share = 0;   ///< Moving average over finished attempts, 0 to 1.
-  double latency_ms = 0;      ///< Moving average of the time to an answer; 0: unknown.
+  bool terminated = false;          ///< Nothing listens at its address any more.
+  MonotonicTime last_success_at{};  ///< The last successful attempt.
+  double failure_rate = 0;          ///< Moving average over finished attempts, 0 to 1.
+  double latency_ms = 0;            ///< Moving average of the time to an answer; 0: unknown.
   PromptCacheView cache;
-  std::uint64_t memory_tokens = 0;  ///< For running requests and cached parts; 0: unknown.
-  double pace_ms = 0;               ///< Moving average of the time between stream events.
-  MonotonicTime pace_at{};          ///< When `event_interval_ms` was last updated.
+  std::uint64_t memory_tokens = 0;    ///< For running requests and cached parts; 0: unknown.
+  double event_interval_ms = 0;       ///< Moving average of the time between stream events.
+  MonotonicTime event_interval_at{};  ///< When `event_interval_ms` was last updated.
 
   /// @return whether it is neither draining nor in cooldown.
-  bool takes_requests(MonotonicTime now) const { return !record.draining && rests_until <= now; }
+  bool accepts_requests(MonotonicTime now) const {
+    return !record.draining && cooldown_until <= now;
+  }
 
   /// @return how long a request has to wait for a permit, as far as this node knows.
   Duration permit_wait(MonotonicTime now) const {
@@ -109,13 +111,13 @@
 
   /// @return estimated requests of other nodes that run or wait there: from the nodes' own reports,
   /// or else from the engine's.
-  double others_there(MonotonicTime now) const;
+  double peer_requests(MonotonicTime now) const;
 
   /// @return estimated requests of all nodes that run or wait there.
-  double requests_there(MonotonicTime now) const { return in_flight + others_there(now); }
+  double total_requests(MonotonicTime now) const { return in_flight + peer_requests(now); }
 
   /// @return milliseconds between stream events, or `fallback` if this node has no recent sample.
-  double recent_pace_ms(MonotonicTime now, double fallback) const;
+  double recent_event_interval_ms(MonotonicTime now, double fallback) const;
 };
 
 /// Result of an attempt with regard to the engine's health.
@@ -149,10 +151,10 @@
   bool outdated(const EngineRecord& record) const;
 
   /// @return the id of the engine's latest incarnation, even if the record is of an earlier one.
-  const EngineId& start_named_by(const EngineRecord& record) const;
+  const EngineId& current_id(const EngineRecord& record) const;
 
   /// @return the latest incarnation of the engine with this name, or null.
-  const EngineView* find_named(const std::string& name) const;
+  const EngineView* find_by_name(const std::string& name) const;
 
   /// Removes an engine. @return its address, or an empty string.
   std::string remove(const EngineId& id);
@@ -161,7 +163,7 @@
   const EngineView* find(const EngineId& id) const;
 
   /// @return the engines of a service, ordered by id. Valid until the next change.
-  std::vector<EngineView*> of_service(const ServiceName& service);
+  std::vector<EngineView*> find_by_service(const ServiceName& service);
 
   std::size_t size() const { return engines_.size(); }
   const std::map<EngineId, EngineView>& all() const { return engines_; }
@@ -170,12 +172,12 @@
   void set_memory(const EngineId& id, std::uint64_t tokens);
 
   /// An attempt was sent. @param work before the engine's first token.
-  void on_sent(const EngineId& id, const PromptWork& work);
+  void on_attempt_sent(const EngineId& id, const PromptWork& work);
 
   /// The engine has begun to answer, so the prefill is complete.
-  void on_read(const EngineId& id, const PromptWork& work);
+  void on_prompt_read(const EngineId& id, const PromptWork& work);
 
-  void on_ended(const EngineId& id);
+  void on_attempt_ended(const EngineId& id);
 
   /// An answer carried the engine's load.
   void on_load(MonotonicTime now, const EngineId& id, const ReportedLoad& load);
@@ -194,7 +196,7 @@
   Duration shared_view_age() const { return shared_view_age_; }
 
   /// Drops load reports and fleet sums that were not renewed in time.
-  void forget_silent_peers(MonotonicTime now);
+  void expire_peer_load(MonotonicTime now);
 
   /// @return the engine with this key, or null.
   EngineView* find_by_key(EngineKey key);
@@ -203,20 +205,20 @@
   std::map<EngineId, PeerLoad> own_load() const;
 
   /// Updates health and backoff after an attempt.
-  void on_health(MonotonicTime now, const EngineId& id, AttemptHealth health);
+  void on_attempt_health(MonotonicTime now, const EngineId& id, AttemptHealth health);
 
   /// Marks an engine as draining, even if it has no record.
   /// @return whether it was not marked before.
-  bool on_leaving(const EngineId& id);
+  bool on_draining(const EngineId& id);
 
   /// Starts a cooldown that an engine requested.
-  void on_rest(MonotonicTime now, const EngineId& id, Duration rest);
+  void on_cooldown(MonotonicTime now, const EngineId& id, Duration cooldown);
 
   const EngineNotices& notices() const { return notices_; }
 
   /// Applies an engine's rate limit, received from the engine or another node.
   /// @return whether the limit has changed.
-  bool on_limit(const EngineId& id, const HeardLimit& heard);
+  bool on_limit(const EngineId& id, const ObservedLimit& limit);
 
   /// Sets when a rate-limited engine accepts its next request.
   void on_next_permit(const EngineId& id, MonotonicTime at);
@@ -225,14 +227,15 @@
 
   /// @return when the first engine of a service that can answer accepts requests again; unset if
   /// one accepts them now or all are draining. @param except engines to leave out.
-  std::optional<MonotonicTime> first_return(MonotonicTime now, const ServiceName& service,
-                                            const std::vector<EngineId>* except = nullptr) const;
+  std::optional<MonotonicTime> next_available_at(
+      MonotonicTime now, const ServiceName& service,
+      const std::vector<EngineId>* except = nullptr) const;
 
   /// Applies a problem that another node reports.
   void on_peer_trouble(MonotonicTime now, const EngineTrouble& trouble);
 
   /// @return the moving average of the tokens that a remote prefill has to process.
-  double usual_unread_tokens() const { return usual_unread_tokens_; }
+  double average_prefill_tokens() const { return average_prefill_tokens_; }
 
   /// Updates `average_prefill_tokens` when a remote prefill is sent.
   void on_prompt_sent(std::uint64_t unread);
@@ -242,7 +245,7 @@
   EngineModel& model_of(const ServiceName& service) { return models_[service]; }
 
   /// Updates the average time between two events of a stream.
-  void on_event_gap(MonotonicTime now, const EngineId& id, Duration gap);
+  void on_event_interval(MonotonicTime now, const EngineId& id, Duration interval);
 
   /// Updates the average time to an answer of a plain request.
   void on_latency(const EngineId& id, Duration latency);
@@ -250,34 +253,34 @@
  private:
   /// The last load report of one node.
   struct Peer {
-    MonotonicTime heard_at{};
+    MonotonicTime last_report_at{};
     std::map<EngineId, PeerLoad> load;
   };
-  struct LatestStart {
+  struct LatestIncarnation {
     EngineId id;
     std::uint64_t started_unix_ms = 0;
   };
-  void note_start(const EngineRecord& record);
-  void forget_oldest_names();
-  void add_to_peers(const std::map<EngineId, PeerLoad>& load, bool subtract);
-  void show_peers(EngineView& engine) const;
-  void forget_key(const EngineView& engine);
-  Duration longer_by_lot(Duration shortest, const EngineId& engine);
-  void show_all_peers();
+  void record_incarnation(const EngineRecord& record);
+  void evict_oldest_names();
+  void apply_peer_load(const std::map<EngineId, PeerLoad>& load, bool subtract);
+  void update_peer_load(EngineView& engine) const;
+  void erase_key(const EngineView& engine);
+  Duration add_jitter(Duration shortest, const EngineId& engine);
+  void update_all_peer_loads();
 
   std::uint64_t seed_;
-  std::uint64_t lots_drawn_ = 0;
+  std::uint64_t jitter_draws_ = 0;
   Duration shared_view_age_ = Duration::zero();
   std::map<EngineId, EngineView> engines_;
   std::multimap<EngineKey, EngineView*> by_key_;  ///< Sorted, as load sums cover ranges of keys.
   /// By engine name; includes removed engines.
-  std::unordered_map<std::string, LatestStart> latest_;
-  std::deque<std::string> latest_order_;
+  std::unordered_map<std::string, LatestIncarnation> latest_incarnations_;
+  std::deque<std::string> name_order_;
   EngineNotices notices_;
   EngineLimits limits_;
   std::map<NodeId, Peer> peers_;
   std::optional<MonotonicTime> fleet_load_at_;  ///< The last fleet sum; unset once expired.
-  double usual_unread_tokens_ = 2000;
+  double average_prefill_tokens_ = 2000;
   std::map<ServiceName, EngineModel> models_;
 };
 
--- a/src/core/relay/engine_directory_load.cpp
+++ b/src/core/relay/engine_directory_load.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 /// Older load reports of an engine are ignored.
-constexpr Duration kReportLife = std::chrono::seconds(2);
+constexpr Duration kMaxReportAge = std::chrono::seconds(2);
 
 /// A node that has not reported for this long counts as having no load.
-constexpr Duration kPeerLife = std::chrono::milliseconds(2500);
+constexpr Duration kPeerTimeout = std::chrono::milliseconds(2500);
 
 }  // namespace
 
-double EngineView::others_there(MonotonicTime now) const {
-  if (peers) return peers->in_flight;
-  if (!load || now - load_at > kReportLife) return 0;
+double EngineView::peer_requests(MonotonicTime now) const {
+  if (peer_load) return peer_load->in_flight;
+  if (!load || now - load_at > kMaxReportAge) return 0;
   const double reported = load->running + load->waiting;
   const double others = std::max(0.0, reported - static_cast<double>(in_flight_at_report));
-  return others * (1.0 - to_seconds(now - load_at) / to_seconds(kReportLife));
+  return others * (1.0 - to_seconds(now - load_at) / to_seconds(kMaxReportAge));
 }
 
 void EngineDirectory::set_memory(const EngineId& id, std::uint64_t tokens) {
@@ -27,23 +27,23 @@
   if (engine != nullptr) engine->memory_tokens = tokens;
 }
 
-void EngineDirectory::on_sent(const EngineId& id, const PromptWork& work) {
+void EngineDirectory::on_attempt_sent(const EngineId& id, const PromptWork& work) {
   EngineView* engine = find(id);
   if (engine == nullptr) return;
   ++engine->in_flight;
-  engine->unread_tokens += work.unread_tokens;
-  if (work.deferred) engine->deferred_tokens += work.unread_tokens;
+  engine->prefill_tokens += work.prefill_tokens;
+  if (work.deferred) engine->deferred_tokens += work.prefill_tokens;
 }
 
-void EngineDirectory::on_read(const EngineId& id, const PromptWork& work) {
+void EngineDirectory::on_prompt_read(const EngineId& id, const PromptWork& work) {
   EngineView* engine = find(id);
   if (engine == nullptr) return;
-  engine->unread_tokens -= std::min(engine->unread_tokens, work.unread_tokens);
+  engine->prefill_tokens -= std::min(engine->prefill_tokens, work.prefill_tokens);
   if (!work.deferred) return;
-  engine->deferred_tokens -= std::min(engine->deferred_tokens, work.unread_tokens);
+  engine->deferred_tokens -= std::min(engine->deferred_tokens, work.prefill_tokens);
 }
 
-void EngineDirectory::on_ended(const EngineId& id) {
+void EngineDirectory::on_attempt_ended(const EngineId& id) {
   EngineView* engine = find(id);
   if (engine != nullptr && engine->in_flight > 0) --engine->in_flight;
 }
@@ -60,10 +60,10 @@
                                    std::map<EngineId, PeerLoad> load) {
   const bool first = peers_.empty();
   Peer& known = peers_[peer];
-  add_to_peers(known.load, true);
+  apply_peer_load(known.load, true);
   known = {now, std::move(load)};
-  add_to_peers(known.load, false);
-  if (first) show_all_peers();
+  apply_peer_load(known.load, false);
+  if (first) update_all_peer_loads();
 }
 
 void EngineDirectory::on_fleet_load(MonotonicTime now, const LoadRange& part,
@@ -72,62 +72,62 @@
   // A sum may be split into several ranges; only the engines of this one are updated.
   for (auto it = by_key_.lower_bound(part.first); it != by_key_.end() && part.covers(it->first);
        ++it) {
-    const auto told = part.load.find(it->first);
-    PeerLoad others = told == part.load.end() ? PeerLoad{} : told->second;
+    const auto summed = part.load.find(it->first);
+    PeerLoad others = summed == part.load.end() ? PeerLoad{} : summed->second;
     const auto own = own_counted.find(it->first);
     if (own != own_counted.end()) others -= own->second;
-    it->second->peers = others;
+    it->second->peer_load = others;
   }
 }
 
-void EngineDirectory::forget_silent_peers(MonotonicTime now) {
-  if (fleet_load_at_ && now - *fleet_load_at_ > kPeerLife) {
+void EngineDirectory::expire_peer_load(MonotonicTime now) {
+  if (fleet_load_at_ && now - *fleet_load_at_ > kPeerTimeout) {
     fleet_load_at_.reset();
-    show_all_peers();
+    update_all_peer_loads();
   }
   for (auto it = peers_.begin(); it != peers_.end();) {
-    if (now - it->second.heard_at <= kPeerLife) {
+    if (now - it->second.last_report_at <= kPeerTimeout) {
       ++it;
       continue;
     }
-    add_to_peers(it->second.load, true);
+    apply_peer_load(it->second.load, true);
     it = peers_.erase(it);
-    if (peers_.empty()) show_all_peers();
+    if (peers_.empty()) update_all_peer_loads();
   }
 }
 
 /// Updates only the engines of one message, so that its cost is independent of the fleet size.
-void EngineDirectory::add_to_peers(const std::map<EngineId, PeerLoad>& load, bool subtract) {
+void EngineDirectory::apply_peer_load(const std::map<EngineId, PeerLoad>& load, bool subtract) {
   for (const auto& [id, work] : load) {
     EngineView* engine = find(id);
     if (engine == nullptr) continue;
     if (subtract) {
-      engine->heard -= work;
+      engine->reported_peer_load -= work;
     } else {
-      engine->heard += work;
+      engine->reported_peer_load += work;
     }
-    show_peers(*engine);
+    update_peer_load(*engine);
   }
 }
 
-void EngineDirectory::show_peers(EngineView& engine) const {
+void EngineDirectory::update_peer_load(EngineView& engine) const {
   if (fleet_load_at_) return;
   if (peers_.empty()) {
-    engine.peers.reset();
+    engine.peer_load.reset();
     return;
   }
-  engine.peers = engine.heard;
+  engine.peer_load = engine.reported_peer_load;
 }
 
-void EngineDirectory::show_all_peers() {
-  for (auto& [id, engine] : engines_) show_peers(engine);
+void EngineDirectory::update_all_peer_loads() {
+  for (auto& [id, engine] : engines_) update_peer_load(engine);
 }
 
 std::map<EngineId, PeerLoad> EngineDirectory::own_load() const {
   std::map<EngineId, PeerLoad> load;
   for (const auto& [id, engine] : engines_) {
-    if (engine.in_flight == 0 && engine.unread_tokens == 0) continue;
-    load[id] = {engine.in_flight, engine.unread_tokens, engine.deferred_tokens};
+    if (engine.in_flight == 0 && engine.prefill_tokens == 0) continue;
+    load[id] = {engine.in_flight, engine.prefill_tokens, engine.deferred_tokens};
   }
   return load;
 }
--- a/src/core/relay/engine_limit.cpp
+++ b/src/core/relay/engine_limit.cpp
@@ -8,76 +8,77 @@
 namespace {
 
 /// Limits stored before expired ones are erased, and their lifetime.
-constexpr std::size_t kManyEngines = 4096;
-constexpr Duration kRemembered = std::chrono::minutes(10);
+constexpr std::size_t kExpiryThreshold = 4096;
+constexpr Duration kLimitRetention = std::chrono::minutes(10);
 
-double figure(const std::optional<double>& limit) {
+double rate_or_infinity(const std::optional<double>& limit) {
   return limit.value_or(std::numeric_limits<double>::infinity());
 }
 
 }  // namespace
 
-ToldLimit to_told(const HeardLimit& limit, MonotonicTime now) {
-  const std::int64_t age_ms = whole_ms(now - limit.heard_at);
-  return {limit.a_second,
-          static_cast<std::uint32_t>(std::clamp<std::int64_t>(age_ms, 0, kHighestLimitAge))};
+LimitReport to_report(const ObservedLimit& limit, MonotonicTime now) {
+  const std::int64_t age_ms = whole_ms(now - limit.observed_at);
+  return {limit.per_second,
+          static_cast<std::uint32_t>(std::clamp<std::int64_t>(age_ms, 0, kMaxLimitAgeMs))};
 }
 
-HeardLimit to_heard(const ToldLimit& told, MonotonicTime now) {
-  return {told.a_second, now - std::chrono::milliseconds(told.age_ms)};
+ObservedLimit to_observed(const LimitReport& report, MonotonicTime now) {
+  return {report.per_second, now - std::chrono::milliseconds(report.age_ms)};
 }
 
-bool EngineLimits::hear(const EngineId& engine, const HeardLimit& heard) {
-  if (this->engines.size() >= kManyEngines) this->forget_old(heard.heard_at);
+bool EngineLimits::observe(const EngineId& engine, const ObservedLimit& observed) {
+  if (this->engines.size() >= kExpiryThreshold) this->expire(observed.observed_at);
   const auto found = this->engines.find(engine);
   if (found == this->engines.end()) {
-    if (!heard.a_second) return false;
-    this->engines[engine].limit = heard;
-    ++this->limited;
+    if (!observed.per_second) return false;
+    this->engines[engine].limit = observed;
+    ++this->limited_count;
     return true;
   }
-  HeardLimit& known = found->second.limit;
-  const double before = figure(known.a_second);
-  const bool higher = figure(heard.a_second) > before;
-  const bool surely_later = heard.heard_at >= known.heard_at + kSurelyLater;
-  const bool surely_older = heard.heard_at <= known.heard_at - kSurelyLater;
+  ObservedLimit& known = found->second.limit;
+  const double before = rate_or_infinity(known.per_second);
+  const bool higher = rate_or_infinity(observed.per_second) > before;
+  const bool surely_later = observed.observed_at >= known.observed_at + kReorderTolerance;
+  const bool surely_older = observed.observed_at <= known.observed_at - kReorderTolerance;
   if (higher ? !surely_later : surely_older) return false;
-  const bool same = figure(heard.a_second) == before;
-  if (known.a_second && !heard.a_second) --this->limited;
-  if (!known.a_second && heard.a_second) ++this->limited;
-  known = {heard.a_second, same ? std::max(known.heard_at, heard.heard_at) : heard.heard_at};
+  const bool same = rate_or_infinity(observed.per_second) == before;
+  if (known.per_second && !observed.per_second) --this->limited_count;
+  if (!known.per_second && observed.per_second) ++this->limited_count;
+  known = {observed.per_second,
+           same ? std::max(known.observed_at, observed.observed_at) : observed.observed_at};
   return !same;
 }
 
-const HeardLimit* EngineLimits::find(const EngineId& engine) const {
+const ObservedLimit* EngineLimits::find(const EngineId& engine) const {
   const auto found = this->engines.find(engine);
   return found == this->engines.end() ? nullptr : &found->second.limit;
 }
 
 std::optional<double> EngineLimits::limit(const EngineId& engine) const {
-  const HeardLimit* known = this->find(engine);
-  return known == nullptr ? std::nullopt : known->a_second;
+  const ObservedLimit* known = this->find(engine);
+  return known == nullptr ? std::nullopt : known->per_second;
 }
 
-void EngineLimits::set_next(const EngineId& engine, MonotonicTime at) {
+void EngineLimits::set_next_permit(const EngineId& engine, MonotonicTime at) {
   const auto found = this->engines.find(engine);
-  if (found != this->engines.end()) found->second.next = at;
+  if (found != this->engines.end()) found->second.next_permit = at;
 }
 
-std::optional<MonotonicTime> EngineLimits::next(const EngineId& engine) const {
+std::optional<MonotonicTime> EngineLimits::next_permit(const EngineId& engine) const {
   const auto found = this->engines.find(engine);
-  if (found == this->engines.end() || !found->second.limit.a_second) return std::nullopt;
-  return found->second.next;
+  if (found == this->engines.end() || !found->second.limit.per_second) return std::nullopt;
+  return found->second.next_permit;
 }
 
 /// A live engine announces its limit again with its next answer.
-void EngineLimits::forget_old(MonotonicTime now) {
+void EngineLimits::expire(MonotonicTime now) {
   std::erase_if(this->engines, [now](const auto& entry) {
-    return now - entry.second.limit.heard_at > kRemembered;
+    return now - entry.second.limit.observed_at > kLimitRetention;
   });
-  this->limited = static_cast<std::size_t>(
+  this->limited_count = static_cast<std::size_t>(
       std::count_if(this->engines.begin(), this->engines.end(),
-                    [](const auto& entry) { return entry.second.limit.a_second.has_value(); }));
+                    [](const auto& entry) { return entry.second.limit.per_second.has_value(); }));
 }
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/engine_limit.hpp
+++ b/src/core/relay/engine_limit.hpp
@@ -14,38 +14,38 @@
 namespace shuntbank::relay {
 
 /// A limit, and when some node received it from the engine.
-struct HeardLimit {
-  std::optional<double> a_second;  ///< Unset: unlimited.
-  MonotonicTime heard_at{};
+struct ObservedLimit {
+  std::optional<double> per_second;  ///< Unset: unlimited.
+  MonotonicTime observed_at{};
 
-  bool operator==(const HeardLimit&) const = default;
+  bool operator==(const ObservedLimit&) const = default;
 };
 
 /// A limit that an engine has set, changed or removed.
-struct LimitNews {
+struct LimitUpdate {
   EngineId engine;
-  HeardLimit limit;
+  ObservedLimit limit;
 
-  bool operator==(const LimitNews&) const = default;
+  bool operator==(const LimitUpdate&) const = default;
 };
 
 /// A limit in messages between nodes, with the age of its observation.
-struct ToldLimit {
-  std::optional<double> a_second;
+struct LimitReport {
+  std::optional<double> per_second;
   std::uint32_t age_ms = 0;
 
-  bool operator==(const ToldLimit&) const = default;
+  bool operator==(const LimitReport&) const = default;
 };
 
 /// Greater ages are cut to this.
-constexpr std::uint32_t kHighestLimitAge = 3'600'000;  // ms
+constexpr std::uint32_t kMaxLimitAgeMs = 3'600'000;  // ms
 
-ToldLimit to_told(const HeardLimit& limit, MonotonicTime now);
-HeardLimit to_heard(const ToldLimit& told, MonotonicTime now);
+LimitReport to_report(const ObservedLimit& limit, MonotonicTime now);
+ObservedLimit to_observed(const LimitReport& report, MonotonicTime now);
 
 /// Observations closer together than this may arrive in either order, as answers and reports
 /// overtake each other.
-constexpr Duration kSurelyLater = std::chrono::milliseconds(500);
+constexpr Duration kReorderTolerance = std::chrono::milliseconds(500);
 
 /// The limit of each engine incarnation and the time of its next permit.
 class EngineLimits {
@@ -53,31 +53,31 @@
   /// Applies an observation. Within `kReorderTolerance` of the known one the lower limit wins;
   /// otherwise the newer one, so that nodes with different observations converge.
   /// @return whether the limit has changed.
-  bool hear(const EngineId& engine, const HeardLimit& heard);
+  bool observe(const EngineId& engine, const ObservedLimit& observed);
 
   /// @return the last observation of an engine, or null.
-  const HeardLimit* find(const EngineId& engine) const;
+  const ObservedLimit* find(const EngineId& engine) const;
 
   /// @return the limit in force, in requests per second.
   std::optional<double> limit(const EngineId& engine) const;
 
   /// Sets when the engine accepts its next request, as far as this node knows.
-  void set_next(const EngineId& engine, MonotonicTime at);
+  void set_next_permit(const EngineId& engine, MonotonicTime at);
 
   /// @return when the engine accepts its next request; unset if it is unlimited.
-  std::optional<MonotonicTime> next(const EngineId& engine) const;
+  std::optional<MonotonicTime> next_permit(const EngineId& engine) const;
 
-  bool any() const { return this->limited > 0; }
+  bool any_limited() const { return this->limited_count > 0; }
 
  private:
   struct Known {
-    HeardLimit limit;
-    MonotonicTime next{};
+    ObservedLimit limit;
+    MonotonicTime next_permit{};
   };
-  void forget_old(MonotonicTime now);
+  void expire(MonotonicTime now);
 
   std::unordered_map<EngineId, Known> engines;
-  std::size_t limited = 0;
+  std::size_t limited_count = 0;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/engine_model.cpp
+++ b/src/core/relay/engine_model.cpp
@@ -8,21 +8,21 @@
 constexpr double kThousand = 1000;
 
 /// Decay of an observation's weight per later one: about fifty have influence.
-constexpr double kKept = 0.98;
+constexpr double kDecay = 0.98;
 
 /// An observation this far above the fit was probably queued behind other nodes' requests.
-constexpr double kHeldUpFactor = 1.5;
-constexpr double kHeldUpWeight = 0.05;
+constexpr double kQueuedFactor = 1.5;
+constexpr double kQueuedWeight = 0.05;
 
 /// Weight of the defaults, in observations.
 constexpr double kPriorWeight = 0.05;
 
 /// Bounds on the fitted cost per token, in milliseconds.
-constexpr double kLeastTokenMs = 1.0 / 5000;
-constexpr double kMostTokenMs = 1;
+constexpr double kMinTokenMs = 1.0 / 5000;
+constexpr double kMaxTokenMs = 1;
 
 /// Decode engines prefill at half the speed, according to the engines' protocol.
-constexpr double kDecodeReadingFactor = 2;
+constexpr double kDecodePrefillFactor = 2;
 
 /// Used until the first handover.
 constexpr double kDefaultHandoverMs = 8;
@@ -31,37 +31,37 @@
 constexpr double kDefaultFetchSetupMs = 5;
 
 /// Shorter intervals weigh more: the average follows the least loaded streams.
-constexpr double kPaceFall = 0.3;
-constexpr double kPaceRise = 0.01;
+constexpr double kDecreaseWeight = 0.3;
+constexpr double kIncreaseWeight = 0.01;
 
 }  // namespace
 
-double ReadingModel::read_ms(double unread_tokens) const {
-  return this->fixed_ms + unread_tokens * this->each_token_ms;
+double PrefillModel::prefill_ms(double uncached_tokens) const {
+  return this->fixed_ms + uncached_tokens * this->per_token_ms;
 }
 
-void ReadingModel::observe(std::uint64_t unread_tokens, Duration took) {
+void PrefillModel::observe(std::uint64_t uncached_tokens, Duration took) {
   const double ms = to_ms(took);
   if (ms <= 0) return;
-  const auto tokens = static_cast<double>(unread_tokens);
-  const bool held_up = this->count > 0 && ms > this->read_ms(tokens) * kHeldUpFactor;
-  ++this->count;
-  this->add(tokens / kThousand, ms, held_up ? kHeldUpWeight : 1);
+  const auto tokens = static_cast<double>(uncached_tokens);
+  const bool queued = this->observations > 0 && ms > this->prefill_ms(tokens) * kQueuedFactor;
+  ++this->observations;
+  this->add(tokens / kThousand, ms, queued ? kQueuedWeight : 1);
   this->fit();
 }
 
-void ReadingModel::add(double thousand_tokens, double ms, double weight) {
-  this->sum_weight = this->sum_weight * kKept + weight;
-  this->sum_x = this->sum_x * kKept + weight * thousand_tokens;
-  this->sum_y = this->sum_y * kKept + weight * ms;
-  this->sum_xx = this->sum_xx * kKept + weight * thousand_tokens * thousand_tokens;
-  this->sum_xy = this->sum_xy * kKept + weight * thousand_tokens * ms;
+void PrefillModel::add(double thousand_tokens, double ms, double weight) {
+  this->sum_weight = this->sum_weight * kDecay + weight;
+  this->sum_x = this->sum_x * kDecay + weight * thousand_tokens;
+  this->sum_y = this->sum_y * kDecay + weight * ms;
+  this->sum_xx = this->sum_xx * kDecay + weight * thousand_tokens * thousand_tokens;
+  this->sum_xy = this->sum_xy * kDecay + weight * thousand_tokens * ms;
 }
 
 /// Adds two prior observations based on the defaults, so that the fit is defined for a single
 /// observation or for several of one size.
-void ReadingModel::fit() {
-  const ReadingModel defaults;
+void PrefillModel::fit() {
+  const PrefillModel defaults;
   double weight = this->sum_weight;
   double x = this->sum_x;
   double y = this->sum_y;
@@ -69,9 +69,9 @@
   double xy = this->sum_xy;
   const double scale =
       this->sum_y / std::max(1e-9, this->sum_weight * defaults.fixed_ms +
-                                       this->sum_x * kThousand * defaults.each_token_ms);
+                                       this->sum_x * kThousand * defaults.per_token_ms);
   for (const double tokens : {0.0, this->sum_x / this->sum_weight}) {
-    const double ms = scale * defaults.read_ms(tokens * kThousand);
+    const double ms = scale * defaults.prefill_ms(tokens * kThousand);
     weight += kPriorWeight;
     x += kPriorWeight * tokens;
     y += kPriorWeight * ms;
@@ -81,8 +81,8 @@
   const double spread = weight * xx - x * x;
   if (spread <= 0) return;
   const double slope = (weight * xy - x * y) / spread;
-  this->each_token_ms = std::clamp(slope / kThousand, kLeastTokenMs, kMostTokenMs);
-  this->fixed_ms = std::max(0.0, (y - this->each_token_ms * kThousand * x) / weight);
+  this->per_token_ms = std::clamp(slope / kThousand, kMinTokenMs, kMaxTokenMs);
+  this->fixed_ms = std::max(0.0, (y - this->per_token_ms * kThousand * x) / weight);
 }
 
 void MovingAverage::observe(double value) {
@@ -90,22 +90,22 @@
   this->has_value = true;
 }
 
-void EngineModel::on_prompt_read(std::uint64_t unread_tokens, Duration took, bool alone) {
-  const double expected = this->prompt_reading.read_ms(static_cast<double>(unread_tokens));
+void EngineModel::on_prompt_read(std::uint64_t uncached_tokens, Duration took, bool alone) {
+  const double expected = this->prefill_model.prefill_ms(static_cast<double>(uncached_tokens));
   if (!alone && to_ms(took) >= expected) return;
-  this->prompt_reading.observe(unread_tokens, took);
+  this->prefill_model.observe(uncached_tokens, took);
 }
 
-double EngineModel::decode_read_ms(double unread_tokens) const {
-  return this->prompt_reading.setup_ms() +
-         kDecodeReadingFactor * unread_tokens * this->prompt_reading.token_ms();
+double EngineModel::decode_prefill_ms(double uncached_tokens) const {
+  return this->prefill_model.setup_ms() +
+         kDecodePrefillFactor * uncached_tokens * this->prefill_model.token_ms();
 }
 
 double EngineModel::handover_ms() const {
   return this->handover.value_or(kDefaultHandoverMs);
 }
 
-void EngineModel::on_handed_over(Duration took, bool deferred) {
+void EngineModel::on_handover(Duration took, bool deferred) {
   if (deferred && to_ms(took) >= this->handover_ms()) return;
   this->handover.observe(to_ms(took));
 }
@@ -114,20 +114,20 @@
   return this->fetch_setup.value_or(kDefaultFetchSetupMs);
 }
 
-void EngineModel::on_fetched(std::uint64_t unread_tokens, double move_ms, Duration took) {
-  const double reading = this->prompt_reading.read_ms(static_cast<double>(unread_tokens));
-  this->fetch_setup.observe(std::max(0.0, to_ms(took) - reading - move_ms));
+void EngineModel::on_fetch(std::uint64_t uncached_tokens, double move_ms, Duration took) {
+  const double prefill = this->prefill_model.prefill_ms(static_cast<double>(uncached_tokens));
+  this->fetch_setup.observe(std::max(0.0, to_ms(took) - prefill - move_ms));
 }
 
-double EngineModel::free_pace_ms() const {
-  return this->undisturbed_pace_ms;
+double EngineModel::unloaded_event_interval_ms() const {
+  return this->unloaded_interval_ms;
 }
 
-void EngineModel::on_stream_pace(Duration between_events) {
+void EngineModel::on_event_interval(Duration between_events) {
   const double ms = to_ms(between_events);
-  if (this->undisturbed_pace_ms == 0) this->undisturbed_pace_ms = ms;
-  const double weight = ms < this->undisturbed_pace_ms ? kPaceFall : kPaceRise;
-  this->undisturbed_pace_ms += weight * (ms - this->undisturbed_pace_ms);
+  if (this->unloaded_interval_ms == 0) this->unloaded_interval_ms = ms;
+  const double weight = ms < this->unloaded_interval_ms ? kDecreaseWeight : kIncreaseWeight;
+  this->unloaded_interval_ms += weight * (ms - this->unloaded_interval_ms);
 }
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/engine_model.hpp
+++ b/src/core/relay/engine_model.hpp
@@ -11,27 +11,27 @@
 
 /// Prefill time of an idle engine: a fixed cost plus a cost per uncached token, from a
 /// least-squares fit with exponential decay.
-class ReadingModel {
+class PrefillModel {
  public:
   /// @return prefill time in milliseconds for uncached tokens.
-  double read_ms(double unread_tokens) const;
+  double prefill_ms(double uncached_tokens) const;
 
   /// @return the fixed part of `prefill_ms`, in milliseconds.
   double setup_ms() const { return this->fixed_ms; }
 
   /// @return milliseconds per uncached token.
-  double token_ms() const { return this->each_token_ms; }
+  double token_ms() const { return this->per_token_ms; }
 
   /// Learns from a completed prefill.
-  void observe(std::uint64_t unread_tokens, Duration took);
+  void observe(std::uint64_t uncached_tokens, Duration took);
 
  private:
   void add(double thousand_tokens, double ms, double weight);
   void fit();
 
   double fixed_ms = 5;
-  double each_token_ms = 1.0 / 40;
-  std::uint64_t count = 0;
+  double per_token_ms = 1.0 / 40;
+  std::uint64_t observations = 0;
 
   // Weighted sums of the fit, over thousands of tokens (x) and milliseconds (y).
   double sum_weight = 0;
@@ -59,35 +59,35 @@
 /// The learned costs of one service's engines.
 class EngineModel {
  public:
-  const ReadingModel& reading() const { return this->prompt_reading; }
+  const PrefillModel& prefill() const { return this->prefill_model; }
 
   /// Learns from a completed prefill.
   /// @param alone the engine was idle as far as this node knew. Otherwise the time may include
   /// queueing and counts only if it is less than expected.
-  void on_prompt_read(std::uint64_t unread_tokens, Duration took, bool deferred);
+  void on_prompt_read(std::uint64_t uncached_tokens, Duration took, bool alone);
 
   /// @return prefill time in milliseconds at a decode engine.
-  double decode_read_ms(double unread_tokens) const;
+  double decode_prefill_ms(double uncached_tokens) const;
 
   /// @return milliseconds from handover to the first event, including the transfer.
   double handover_ms() const;
   /// @param deferred it may have been queued, and counts only if it was faster than usual.
-  void on_handed_over(Duration took, bool deferred);
+  void on_handover(Duration took, bool deferred);
 
   /// @return milliseconds that fetching parts from another engine takes, excluding the transfer.
   double fetch_setup_ms() const;
   /// Learns from a prefill at an idle engine that fetched parts first.
-  void on_fetched(std::uint64_t unread_tokens, double move_ms, Duration took);
+  void on_fetch(std::uint64_t uncached_tokens, double move_ms, Duration took);
 
   /// @return milliseconds between the events of a stream at an unloaded engine, or 0 if unknown.
-  double free_pace_ms() const;
-  void on_stream_pace(Duration between_events);
+  double unloaded_event_interval_ms() const;
+  void on_event_interval(Duration between_events);
 
  private:
-  ReadingModel prompt_reading;
+  PrefillModel prefill_model;
   MovingAverage handover{0.1};
   MovingAverage fetch_setup{0.1};
-  double undisturbed_pace_ms = 0;
+  double unloaded_interval_ms = 0;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/engine_notice.hpp
+++ b/src/core/relay/engine_notice.hpp
@@ -16,44 +16,44 @@
 
 /// The notices in the headers of one answer.
 struct EngineNotice {
-  bool leaving = false;          ///< It is shutting down and wants no new requests.
-  std::optional<Duration> rest;  ///< It wants no requests from this node for this long.
+  bool draining = false;             ///< It is shutting down and wants no new requests.
+  std::optional<Duration> cooldown;  ///< It wants no requests from this node for this long.
   /// Requests per second that it accepts from all nodes together, until it says otherwise.
   std::optional<double> limit;
-  bool names_limit = false;  ///< A limit was sent, possibly malformed.
+  bool has_limit = false;  ///< A limit was sent, possibly malformed.
 
   bool operator==(const EngineNotice&) const = default;
 };
 
 /// Longer cooldowns are cut to this, so that a faulty value does not disable an engine for long.
-constexpr Duration kLongestRest = std::chrono::minutes(10);
+constexpr Duration kMaxCooldown = std::chrono::minutes(10);
 
 /// The notices in force of all engines, by incarnation.
 class EngineNotices {
  public:
   /// Marks an engine as draining. @return whether it was not marked before.
-  bool on_leaving(const EngineId& engine);
+  bool on_draining(const EngineId& engine);
 
   /// Starts a cooldown. A shorter one does not end a longer one.
   /// @return the end of the cooldown.
-  MonotonicTime on_rest(MonotonicTime now, const EngineId& engine, Duration rest);
+  MonotonicTime on_cooldown(MonotonicTime now, const EngineId& engine, Duration cooldown);
 
-  bool leaving(const EngineId& engine) const { return this->leaving_starts.count(engine) > 0; }
+  bool draining(const EngineId& engine) const { return this->draining_engines.count(engine) > 0; }
 
   /// @return the end of the engine's last cooldown, or a time long past.
-  MonotonicTime rests_until(const EngineId& engine) const;
+  MonotonicTime cooldown_until(const EngineId& engine) const;
 
   /// @return whether the engine is draining or in cooldown.
-  bool wants_none(MonotonicTime now, const EngineId& engine) const {
-    return this->leaving(engine) || this->rests_until(engine) > now;
+  bool refuses_requests(MonotonicTime now, const EngineId& engine) const {
+    return this->draining(engine) || this->cooldown_until(engine) > now;
   }
 
  private:
-  void forget_ended_rests(MonotonicTime now);
+  void erase_expired_cooldowns(MonotonicTime now);
 
-  std::unordered_set<EngineId> leaving_starts;
-  std::deque<EngineId> leaving_order;
-  std::unordered_map<EngineId, MonotonicTime> rests;
+  std::unordered_set<EngineId> draining_engines;
+  std::deque<EngineId> draining_order;
+  std::unordered_map<EngineId, MonotonicTime> cooldowns;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/engine_trouble.hpp
+++ b/src/core/relay/engine_trouble.hpp
@@ -11,7 +11,7 @@
 enum class TroubleKind {
   kUnusable,     ///< It is unreachable, or refuses requests despite free slots.
   kMisdirected,  ///< The address serves another incarnation, or the stage differs.
-  kLeaving,      ///< It announced its shutdown, to all nodes and irrevocably.
+  kDraining,     ///< It announced its shutdown, to all nodes and irrevocably.
 };
 
 /// A problem that a node met at an engine.
--- a/src/core/relay/engine_news.cpp
+++ b/src/core/relay/engine_updates.cpp
@@ -1,8 +1,8 @@
-#include "core/relay/engine_news.hpp"
+#include "core/relay/engine_updates.hpp"
 
 namespace shuntbank::relay {
 
-void EngineNews::append(const EngineNews& more) {
+void EngineUpdates::append(const EngineUpdates& more) {
   reads.insert(reads.end(), more.reads.begin(), more.reads.end());
   troubles.insert(troubles.end(), more.troubles.begin(), more.troubles.end());
   crashes.insert(crashes.end(), more.crashes.begin(), more.crashes.end());
--- a/src/core/relay/engine_news.hpp
+++ b/src/core/relay/engine_updates.hpp
@@ -30,13 +30,13 @@
 /// A changed rate limit of an engine.
 struct KeyedLimit {
   EngineKey engine = 0;
-  ToldLimit limit;
+  LimitReport limit;
 
   bool operator==(const KeyedLimit&) const = default;
 };
 
 /// Events at engines since the last message.
-struct EngineNews {
+struct EngineUpdates {
   std::vector<KeyedRead> reads;
   std::vector<KeyedTrouble> troubles;
   std::vector<CrashReport> crashes;
@@ -45,8 +45,8 @@
   bool empty() const {
     return reads.empty() && troubles.empty() && crashes.empty() && limits.empty();
   }
-  void append(const EngineNews& more);
-  bool operator==(const EngineNews&) const = default;
+  void append(const EngineUpdates& more);
+  bool operator==(const EngineUpdates&) const = default;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/placement.cpp
+++ b/src/core/relay/placement.cpp
@@ -11,7 +11,7 @@
 
 bool is_candidate(MonotonicTime now, const EngineView& engine, const PlacementQuery& query) {
   const EngineRecord& record = engine.record;
-  if (!engine.takes_requests(now) || record.stage != query.stage) return false;
+  if (!engine.accepts_requests(now) || record.stage != query.stage) return false;
   if (listed(query.avoid, record.id)) return false;
   if (query.apart_from != nullptr && query.apart_from->count(engine.key) > 0) return false;
   return query.max_connections_here == 0 || engine.in_flight < query.max_connections_here;
@@ -23,9 +23,9 @@
                                     const PlacementQuery& query) {
   std::vector<EngineView*> sound;
   std::vector<EngineView*> avoided;
-  for (EngineView* engine : engines.of_service(query.service->name)) {
+  for (EngineView* engine : engines.find_by_service(query.service->name)) {
     if (!is_candidate(now, *engine, query)) continue;
-    (engine->avoided_until > now ? avoided : sound).push_back(engine);
+    (engine->backoff_until > now ? avoided : sound).push_back(engine);
   }
   return sound.empty() ? avoided : sound;
 }
@@ -64,8 +64,8 @@
 
 FetchSource best_source(MonotonicTime now, EngineDirectory& engines, const PlacementQuery& query) {
   FetchSource best;
-  for (const EngineView* engine : engines.of_service(query.service->name)) {
-    if (engine->avoided_until > now || listed(query.avoid, engine->record.id)) continue;
+  for (const EngineView* engine : engines.find_by_service(query.service->name)) {
+    if (engine->backoff_until > now || listed(query.avoid, engine->record.id)) continue;
     const std::uint64_t kept = kept_at(*engine, *query.prompt);
     if (kept > best.kept) best = {engine, kept};
   }
@@ -83,19 +83,19 @@
 /// @return milliseconds until the engine has read all that comes before another prompt.
 double waiting_ms(const PromptCosts& costs, const EngineView& engine) {
   const bool prefill = engine.record.stage == EngineStage::kPrefill;
-  auto all = static_cast<double>(engine.unread_tokens);
+  auto all = static_cast<double>(engine.prefill_tokens);
   auto behind = static_cast<double>(engine.deferred_tokens);
-  if (engine.peers) {
-    all += static_cast<double>(engine.peers->unread_tokens);
-    behind += static_cast<double>(engine.peers->deferred_tokens);
+  if (engine.peer_load) {
+    all += static_cast<double>(engine.peer_load->unread_tokens);
+    behind += static_cast<double>(engine.peer_load->deferred_tokens);
   } else if (prefill) {
-    all += engine.others_there(costs.now) * costs.usual_unread_tokens;
+    all += engine.peer_requests(costs.now) * costs.usual_unread_tokens;
   }
   const double ahead = costs.deferred ? all : std::max(0.0, all - behind);
-  const ReadingModel& reading = costs.model.reading();
-  if (!prefill) return costs.model.decode_read_ms(ahead) - reading.setup_ms();
+  const PrefillModel& reading = costs.model.prefill();
+  if (!prefill) return costs.model.decode_prefill_ms(ahead) - reading.setup_ms();
   const double share = all > 0 ? ahead / all : 1;
-  return engine.requests_there(costs.now) * share * reading.setup_ms() + ahead * reading.token_ms();
+  return engine.total_requests(costs.now) * share * reading.setup_ms() + ahead * reading.token_ms();
 }
 
 /// @return a number from 0 to 1 that differs from prompt to prompt and from engine to engine.
@@ -119,8 +119,8 @@
 /// A batch that is nearly full costs as much as reading a usual prompt, a full one many times that.
 double crowding_ms(const PromptCosts& costs, const EngineView& engine) {
   constexpr double kFullBatch = 20;
-  const double usual_ms = costs.model.reading().read_ms(costs.usual_unread_tokens);
-  const double fill = engine.requests_there(costs.now) / std::max(1U, engine.record.slots);
+  const double usual_ms = costs.model.prefill().prefill_ms(costs.usual_unread_tokens);
+  const double fill = engine.total_requests(costs.now) / std::max(1U, engine.record.slots);
   return usual_ms * (fill < 1 ? fill : kFullBatch * fill);
 }
 
@@ -129,21 +129,22 @@
   const auto tokens = static_cast<double>(unread);
   const bool prefill = engine.record.stage == EngineStage::kPrefill;
   const double reading =
-      prefill ? costs.model.reading().read_ms(tokens) : costs.model.decode_read_ms(tokens);
+      prefill ? costs.model.prefill().prefill_ms(tokens) : costs.model.decode_prefill_ms(tokens);
   return waiting_ms(costs, engine) + reading;
 }
 
 /// @return what speaks against an engine whose streams are many or slow, in milliseconds.
 double busy_streams_ms(const PromptCosts& costs, const EngineView& engine) {
   if (engine.record.stage == EngineStage::kPrefill) return 0;
-  const double free_pace = costs.model.free_pace_ms();
-  return crowding_ms(costs, engine) + engine.recent_pace_ms(costs.now, free_pace) - free_pace;
+  const double free_pace = costs.model.unloaded_event_interval_ms();
+  return crowding_ms(costs, engine) + engine.recent_event_interval_ms(costs.now, free_pace) -
+         free_pace;
 }
 
 double plain_cost(MonotonicTime now, const EngineView& engine, const PlacementSettings& settings) {
   const double each = engine.latency_ms > 0 ? engine.latency_ms : settings.plain_request_ms;
   const double slots = std::max(1U, engine.record.slots);
-  const double there = engine.requests_there(now);
+  const double there = engine.total_requests(now);
   return each * (1 + there / slots + std::max(0.0, there + 1 - slots));
 }
 
@@ -165,7 +166,7 @@
   placement.cost_ms = placement.expected_ms + busy_streams_ms(costs, engine);
   if (home) {
     placement.cost_ms -= settings.home_share * static_cast<double>(shared_tokens(prompt)) *
-                         model.reading().token_ms();
+                         model.prefill().token_ms();
   }
   const bool useful = source.engine != nullptr && source.engine != &engine &&
                       source.kept >= kept + settings.least_fetched_tokens;
@@ -173,7 +174,7 @@
   const std::uint64_t saved = source.kept - kept;
   const std::uint64_t unread = prompt.prompt_tokens - source.kept;
   const double moving = model.fetch_setup_ms() + query.service->model->move_ms(saved);
-  const double reading = static_cast<double>(saved) * model.reading().token_ms();
+  const double reading = static_cast<double>(saved) * model.prefill().token_ms();
   if (moving >= reading) return;
   placement.unread_tokens = unread;
   placement.expected_ms += moving - reading;
@@ -190,7 +191,7 @@
   const FetchSource source =
       query.prompt != nullptr ? best_source(now, engines, query) : FetchSource{};
   const PromptCosts costs{now, std::as_const(engines).model_of(query.service->name),
-                          engines.usual_unread_tokens(), query.deferred};
+                          engines.average_prefill_tokens(), query.deferred};
   const double spread_ms = query.prompt != nullptr ? herd_spread_ms(costs, engines, sound) : 0;
   std::optional<Placement> best;
   for (const EngineView* engine : sound) {
@@ -208,10 +209,10 @@
     placement.expected_ms += permit_ms;
     placement.cost_ms += permit_ms;
     if (permit_ms > 0 && placement.expected_ms > query.most_expected_ms) continue;
-    placement.cost_ms += engine->failure_share * settings.failure_cost_ms;
+    placement.cost_ms += engine->failure_rate * settings.failure_cost_ms;
     if (engine->record.zone != query.zone) placement.cost_ms += settings.other_zone_ms;
     if (query.may_end_engine) {
-      placement.cost_ms += settings.bystander_ms * engine->requests_there(now);
+      placement.cost_ms += settings.bystander_ms * engine->total_requests(now);
     }
     if (!best || placement.cost_ms < best->cost_ms) best = placement;
   }
--- a/src/core/relay/stage_planner.cpp
+++ b/src/core/relay/stage_planner.cpp
@@ -35,12 +35,12 @@
 /// @return whether the engine has come since planning began and nobody has a use for it yet.
 bool StagePlanner::newcomer(MonotonicTime now, const EngineView& engine) const {
   const bool first = !first_engines_ || first_engines_->count(engine.record.id) > 0;
-  return !first && engine.requests_there(now) < 0.5 && engine.cache.empty();
+  return !first && engine.total_requests(now) < 0.5 && engine.cache.empty();
 }
 
 std::size_t StagePlanner::batch_size(EngineDirectory& engines,
                                      const RelayedService& service) const {
-  const auto all = static_cast<double>(engines.of_service(service.name).size());
+  const auto all = static_cast<double>(engines.find_by_service(service.name).size());
   return std::max<std::size_t>(1, static_cast<std::size_t>(all * settings_.share_at_once));
 }
 
@@ -55,7 +55,7 @@
                                                   const RelayedService& service, bool batch_open) {
   std::vector<EngineView*> prefill;
   std::vector<EngineView*> decode;
-  for (EngineView* engine : engines.of_service(service.name)) {
+  for (EngineView* engine : engines.find_by_service(service.name)) {
     if (engine->record.draining) continue;
     (expected_stage(now, engine->record) == EngineStage::kPrefill ? prefill : decode)
         .push_back(engine);
@@ -76,7 +76,7 @@
   const auto least = std::min_element(from.begin(), from.end(), [&](auto* left, auto* right) {
     const bool left_newcomer = newcomer(now, *left);
     if (left_newcomer != newcomer(now, *right)) return left_newcomer;
-    return left->requests_there(now) < right->requests_there(now);
+    return left->total_requests(now) < right->total_requests(now);
   });
   return StageChange{(*least)->record.id,
                      more_prefill ? EngineStage::kPrefill : EngineStage::kDecode};
--- a/src/protocol/crash_report_codec.cpp
+++ b/src/protocol/crash_report_codec.cpp
@@ -5,7 +5,7 @@
 nlohmann::json to_json(const std::vector<relay::CrashReport>& reports) {
   nlohmann::json list = nlohmann::json::array();
   for (const relay::CrashReport& report : reports) {
-    list.push_back({static_cast<unsigned>(report.news), report.request.high, report.request.low,
+    list.push_back({static_cast<unsigned>(report.event), report.request.high, report.request.low,
                     report.engine, report.caller, report.age_ms});
   }
   return list;
@@ -15,8 +15,8 @@
   std::vector<relay::CrashReport> reports;
   for (const nlohmann::json& entry : list) {
     const auto news = entry.at(0).get<unsigned>();
-    if (news > static_cast<unsigned>(relay::kLastCrashNews)) continue;
-    reports.push_back({static_cast<relay::CrashNews>(news),
+    if (news > static_cast<unsigned>(relay::kLastCrashEvent)) continue;
+    reports.push_back({static_cast<relay::CrashEvent>(news),
                        {entry.at(1).get<std::uint64_t>(), entry.at(2).get<std::uint64_t>()},
                        entry.at(3).get<relay::EngineKey>(),
                        entry.at(4).get<relay::CallerKey>(),
--- a/src/protocol/limit_codec.cpp
+++ b/src/protocol/limit_codec.cpp
@@ -2,15 +2,15 @@
 
 namespace shuntbank {
 
-void append_limit(nlohmann::json& entry, const relay::ToldLimit& limit) {
-  entry.push_back(limit.a_second ? nlohmann::json(*limit.a_second) : nlohmann::json());
+void append_limit(nlohmann::json& entry, const relay::LimitReport& limit) {
+  entry.push_back(limit.per_second ? nlohmann::json(*limit.per_second) : nlohmann::json());
   entry.push_back(limit.age_ms);
 }
 
-relay::ToldLimit limit_at(const nlohmann::json& entry, std::size_t place) {
-  relay::ToldLimit limit;
+relay::LimitReport limit_at(const nlohmann::json& entry, std::size_t place) {
+  relay::LimitReport limit;
   const nlohmann::json& figure = entry.at(place);
-  if (!figure.is_null()) limit.a_second = figure.get<double>();
+  if (!figure.is_null()) limit.per_second = figure.get<double>();
   limit.age_ms = entry.at(place + 1).get<std::uint32_t>();
   return limit;
 }
--- a/src/protocol/limit_codec.hpp
+++ b/src/protocol/limit_codec.hpp
@@ -10,10 +10,10 @@
 namespace shuntbank {
 
 /// Appends a limit to an entry, as two values.
-void append_limit(nlohmann::json& entry, const relay::ToldLimit& limit);
+void append_limit(nlohmann::json& entry, const relay::LimitReport& limit);
 
 /// @return the limit whose values begin at a place of an entry. Throws as nlohmann/json does when
 /// there is none.
-relay::ToldLimit limit_at(const nlohmann::json& entry, std::size_t place);
+relay::LimitReport limit_at(const nlohmann::json& entry, std::size_t place);
 
 }  // namespace shuntbank
--- a/src/protocol/load_digest.cpp
+++ b/src/protocol/load_digest.cpp
@@ -134,7 +134,7 @@
 }
 
 /// Lists that are mostly empty come last and are left out then.
-json news_to_json(const relay::EngineNews& news) {
+json news_to_json(const relay::EngineUpdates& news) {
   json lists = {reads_to_json(news.reads), troubles_to_json(news.troubles), to_json(news.crashes)};
   if (!news.limits.empty()) lists.push_back(limits_to_json(news.limits));
   return lists;
--- a/src/protocol/load_digest.hpp
+++ b/src/protocol/load_digest.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "core/relay/catalog_revisions.hpp"
-#include "core/relay/engine_news.hpp"
+#include "core/relay/engine_updates.hpp"
 #include "core/relay/load_collector.hpp"
 #include "core/relay/peer_load.hpp"
 
@@ -33,7 +33,7 @@
   ZoneName zone;                ///< Whose nodes are summed; empty: those of all zones.
   std::size_t nodes = 0;        ///< That are in the sum.
   relay::LoadRange part;
-  relay::EngineNews news;        ///< Since the sum before.
+  relay::EngineUpdates news;     ///< Since the sum before.
   relay::CatalogRevisions seen;  ///< The newest changes of the store that any of them has seen.
   /// How long ago the store has confirmed its state to a node that reads it for others, in
   /// milliseconds; kNeverConfirmed: to none that is known.
--- a/src/protocol/load_message.hpp
+++ b/src/protocol/load_message.hpp
@@ -21,7 +21,7 @@
 /// A changed limit of an engine.
 struct ToldLimitNews {
   EngineId engine;
-  relay::ToldLimit limit;
+  relay::LimitReport limit;
 
   bool operator==(const ToldLimitNews&) const = default;
 };
--- a/src/protocol/permit_message.hpp
+++ b/src/protocol/permit_message.hpp
@@ -22,7 +22,7 @@
   bool wants_permit = false;
   std::uint32_t earliest_ms = 0;      ///< Until the send can leave.
   std::uint32_t longest_wait_ms = 0;  ///< From then on: a later send is of no use.
-  relay::ToldLimit limit;             ///< As the asking node knows it.
+  relay::LimitReport limit;           ///< As the asking node knows it.
 
   bool operator==(const PermitCall&) const = default;
 };
@@ -43,7 +43,7 @@
   PermitVerdict verdict = PermitVerdict::kNotTheKeeper;
   std::uint32_t leaves_in_ms = 0;  ///< Until the send that was granted may leave.
   std::uint32_t next_in_ms = 0;    ///< Until another one may.
-  relay::ToldLimit limit;          ///< As the answering node knows it.
+  relay::LimitReport limit;        ///< As the answering node knows it.
 
   bool operator==(const PermitAnswer&) const = default;
 };
--- a/src/relay/catalog.cpp
+++ b/src/relay/catalog.cpp
@@ -70,7 +70,7 @@
 
 void Catalog::set_readers(const StoreReaders& readers) {
   // A node that has just started counts on the readers until it has had the time to hear of them.
-  const MonotonicTime heard_at = std::max(readers.heard_at, started_at_);
+  const MonotonicTime heard_at = std::max(readers.confirmed_at, started_at_);
   const bool others_read = runtime_.now() - heard_at <= settings_.readers_silent;
   read_with(readers.self || !others_read ? store::Freshness::kLatest : store::Freshness::kMayLag);
   if (std::exchange(reads_for_others_, readers.self) != readers.self) pace(node_.fleet());
--- a/src/relay/engine_listener.hpp
+++ b/src/relay/engine_listener.hpp
@@ -31,7 +31,7 @@
   }
 
   /// Sets who is told that an engine has changed its limit, for the other nodes.
-  void on_limit_news(std::function<void(const LimitNews&)> handler) {
+  void on_limit_news(std::function<void(const LimitUpdate&)> handler) {
     this->tell_limit = std::move(handler);
   }
 
@@ -44,7 +44,7 @@
   void on_leaving(const EngineId& engine, std::string_view request = {});
 
   /// Another node has heard a limit of an engine.
-  void on_peer_limit(const LimitNews& news);
+  void on_peer_limit(const LimitUpdate& news);
 
   /// Another node has met trouble at an engine.
   void on_peer_trouble(const EngineTrouble& trouble);
@@ -56,7 +56,7 @@
 
   EngineListenerIo io;
   std::function<void(const EngineTrouble&)> tell_trouble;
-  std::function<void(const LimitNews&)> tell_limit;
+  std::function<void(const LimitUpdate&)> tell_limit;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/engine_permits.cpp
+++ b/src/relay/engine_permits.cpp
@@ -30,7 +30,7 @@
 constexpr std::size_t kMostSpare = 64;
 
 std::uint32_t to_message_ms(Duration duration) {
-  constexpr std::int64_t kMost = kHighestLimitAge;
+  constexpr std::int64_t kMost = kMaxLimitAgeMs;
   return static_cast<std::uint32_t>(std::clamp<std::int64_t>(whole_ms(duration), 0, kMost));
 }
 
@@ -57,7 +57,7 @@
 void EnginePermits::tick() {
   this->notice_standstill();
   this->looked_at = this->io.runtime.now();
-  if (this->io.engines.limits().any()) this->look_around();
+  if (this->io.engines.limits().any_limited()) this->look_around();
 }
 
 /// Calls that have waited may be taken before the first tick.
@@ -241,7 +241,7 @@
   // The keeper counts from some moment between the call and its answer.
   const std::chrono::milliseconds leaves(answer.leaves_in_ms);
   waiting.handler(SendPermit{answer.engine, now + leaves, waiting.sent_at + leaves + kPermitLife,
-                             answer.limit.a_second.value_or(0)});
+                             answer.limit.per_second.value_or(0)});
 }
 
 bool EnginePermits::usable(const SendPermit& permit) const {
@@ -272,14 +272,14 @@
   return permit;
 }
 
-void EnginePermits::take_limit(const EngineId& engine, const ToldLimit& told) {
-  this->io.listener.on_peer_limit({engine, to_heard(told, this->io.runtime.now())});
+void EnginePermits::take_limit(const EngineId& engine, const LimitReport& told) {
+  this->io.listener.on_peer_limit({engine, to_observed(told, this->io.runtime.now())});
 }
 
-ToldLimit EnginePermits::told_limit(const EngineId& engine) const {
-  const HeardLimit* known = this->io.engines.limits().find(engine);
-  if (known == nullptr) return {std::nullopt, kHighestLimitAge};
-  return to_told(*known, this->io.runtime.now());
+LimitReport EnginePermits::told_limit(const EngineId& engine) const {
+  const ObservedLimit* known = this->io.engines.limits().find(engine);
+  if (known == nullptr) return {std::nullopt, kMaxLimitAgeMs};
+  return to_report(*known, this->io.runtime.now());
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -117,8 +117,8 @@
   void on_unanswered(std::uint64_t number);
   std::optional<SendPermit> take_spare(const EngineId& engine, MonotonicTime needed_at);
   bool usable(const SendPermit& permit) const;
-  void take_limit(const EngineId& engine, const ToldLimit& told);
-  ToldLimit told_limit(const EngineId& engine) const;
+  void take_limit(const EngineId& engine, const LimitReport& told);
+  LimitReport told_limit(const EngineId& engine) const;
 
   EnginePermitsIo io;
   NodeId self;
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -64,7 +64,7 @@
 
 /// Idle nodes speak as well: who is silent is taken for dead.
 void LoadExchange::refresh() {
-  node_.engines().forget_silent_peers(runtime_.now());
+  node_.engines().expire_peer_load(runtime_.now());
   flush();
 }
 
@@ -184,14 +184,14 @@
   message.load = node_.engines().own_load();
   message.reads = node_.take_prompt_reads();
   message.troubles = node_.take_troubles();
-  for (const LimitNews& news : node_.take_limits()) {
-    message.limits.push_back({news.engine, to_told(news.limit, runtime_.now())});
+  for (const LimitUpdate& news : node_.take_limits()) {
+    message.limits.push_back({news.engine, to_report(news.limit, runtime_.now())});
   }
   message.crashes = node_.quarantine().take_reports();
   if (!own_progress_) return message;
   const StoreProgress progress = own_progress_();
   message.seen = progress.seen;
-  if (reads_for_others()) message.store_age_ms = to_age_ms(runtime_.now(), progress.latest_at);
+  if (reads_for_others()) message.store_age_ms = to_age_ms(runtime_.now(), progress.confirmed_at);
   return message;
 }
 
--- a/src/relay/quarantine.cpp
+++ b/src/relay/quarantine.cpp
@@ -44,34 +44,34 @@
   *this->alive = false;
 }
 
-CrashStanding Quarantine::standing(const TriedRequest& tried) const {
-  return this->ledger.standing(this->io.runtime.now(), tried);
+SuspectStatus Quarantine::standing(const TriedRequest& tried) const {
+  return this->ledger.status(this->io.runtime.now(), tried);
 }
 
 bool Quarantine::suspects(const RequestIdentity& request) const {
-  return this->standing({request, 0}).suspect();
+  return this->standing({request, 0}).is_suspect();
 }
 
 std::set<EngineKey> Quarantine::engines_on_trial(const RequestIdentity& request) const {
-  return this->ledger.engines_on_trial(this->io.runtime.now(), request);
+  return this->ledger.trial_engines(this->io.runtime.now(), request);
 }
 
 void Quarantine::begin_trial(const RequestIdentity& request, const EngineId& engine) {
   const MonotonicTime now = this->io.runtime.now();
   this->ledger.begin_trial(now, request, engine_key(engine));
   if (this->told.count(request) == 0) return;
-  this->tell(CrashNews::kOnTrial, {request, 0}, engine_key(engine), now);
+  this->tell(CrashEvent::kTrialStarted, {request, 0}, engine_key(engine), now);
 }
 
 void Quarantine::end_trial(const RequestIdentity& request, const EngineId& engine) {
-  if (!this->standing({request, 0}).under_way) return;
+  if (!this->standing({request, 0}).in_flight) return;
   this->ledger.end_trial(request);
   const EngineKey key = engine_key(engine);
   const auto told_begin = std::erase_if(this->tellings, [&](const Telling& telling) {
-    return telling.news == CrashNews::kOnTrial && telling.request == request;
+    return telling.news == CrashEvent::kTrialStarted && telling.request == request;
   });
   if (told_begin == 0 && this->told.count(request) == 0) return;
-  this->tell(CrashNews::kOffTrial, {request, 0}, key, this->io.runtime.now());
+  this->tell(CrashEvent::kTrialEnded, {request, 0}, key, this->io.runtime.now());
 }
 
 /// @return whether what was sent to the engine then may have ended it. One that has said that it
@@ -79,48 +79,48 @@
 bool Quarantine::may_have_ended_it(const EngineId& engine, MonotonicTime sent_at) const {
   const EngineView* view = this->io.engines.find(engine);
   if (view == nullptr || view->record.draining) return false;
-  return !this->ledger.ended_before(sent_at, engine_key(engine));
+  return !this->ledger.crashed_before(sent_at, engine_key(engine));
 }
 
 void Quarantine::on_broken(const TriedRequest& tried, const EngineId& engine,
                            MonotonicTime sent_at) {
   if (!this->may_have_ended_it(engine, sent_at)) return;
-  this->ledger.on_broken(this->io.runtime.now(), {tried, engine_key(engine), false, false});
-  if (this->standing(tried).broken > 1) this->tell_all(tried.request);
+  this->ledger.on_interrupted(this->io.runtime.now(), {tried, engine_key(engine), false, false});
+  if (this->standing(tried).interruptions > 1) this->tell_all(tried.request);
   this->settle();
 }
 
 void Quarantine::on_silent(const TriedRequest& tried, const EngineId& engine,
                            MonotonicTime sent_at) {
   if (!this->may_have_ended_it(engine, sent_at)) return;
-  this->ledger.on_broken(this->io.runtime.now(), {tried, engine_key(engine), true, false});
+  this->ledger.on_interrupted(this->io.runtime.now(), {tried, engine_key(engine), true, false});
 }
 
 void Quarantine::on_answered(const RequestIdentity& request) {
   if (!this->suspects(request)) return;
   const MonotonicTime now = this->io.runtime.now();
-  const bool was_held = this->ledger.holds(request);
-  const bool others_know = this->told.erase(request) > 0 || this->ledger.heard_of(request);
+  const bool was_held = this->ledger.is_quarantined(request);
+  const bool others_know = this->told.erase(request) > 0 || this->ledger.reported_by_peer(request);
   this->ledger.clear(now, request);
-  if (others_know) this->tell(CrashNews::kCleared, {request, 0}, 0, now);
+  if (others_know) this->tell(CrashEvent::kCleared, {request, 0}, 0, now);
   if (was_held) this->note_held_changed(true);
 }
 
 void Quarantine::on_failed(const RequestIdentity& request) {
-  if (this->ledger.knows(request)) this->tell_all(request);
+  if (this->ledger.contains(request)) this->tell_all(request);
 }
 
 void Quarantine::on_held_again(const RequestIdentity& request) {
-  this->ledger.on_held_again(this->io.runtime.now(), request);
+  this->ledger.extend_quarantine(this->io.runtime.now(), request);
   // A node that has just started may not know yet.
   this->tell_all(request);
 }
 
 void Quarantine::on_engine_ended(const EngineId& engine) {
   const EngineKey key = engine_key(engine);
-  this->ledger.on_engine_ended(this->io.runtime.now(), key);
+  this->ledger.on_engine_crashed(this->io.runtime.now(), key);
   // What was told as broken off, or kept back as silence, can now be told for certain.
-  for (const RequestIdentity& request : this->ledger.broken_by(key)) {
+  for (const RequestIdentity& request : this->ledger.interrupted_by(key)) {
     if (this->told.count(request) > 0) this->tell_all(request);
   }
   this->settle();
@@ -131,30 +131,30 @@
 }
 
 bool Quarantine::lift(const RequestIdentity& request) {
-  if (!this->ledger.holds(request)) return false;
+  if (!this->ledger.is_quarantined(request)) return false;
   const MonotonicTime now = this->io.runtime.now();
   this->ledger.clear(now, request);
   this->told.erase(request);
-  this->tell(CrashNews::kCleared, {request, 0}, 0, now);
+  this->tell(CrashEvent::kCleared, {request, 0}, 0, now);
   log_event(LogArea::kControl, LogLevel::kWarning, "request_let_go",
             {{"identity", to_text(request)}, {"why", "an operator speaks for it"}});
   this->note_held_changed(true);
   return true;
 }
 
-std::vector<HeldRequest> Quarantine::held() const {
-  return this->ledger.held(this->io.runtime.now());
+std::vector<QuarantinedRequest> Quarantine::held() const {
+  return this->ledger.quarantined(this->io.runtime.now());
 }
 
-void Quarantine::restore(const std::vector<HeldRequest>& held) {
-  for (const HeldRequest& entry : held) {
-    if (this->ledger.holds(entry.request)) continue;
+void Quarantine::restore(const std::vector<QuarantinedRequest>& held) {
+  for (const QuarantinedRequest& entry : held) {
+    if (this->ledger.is_quarantined(entry.request)) continue;
     this->ledger.restore(this->io.runtime.now(), entry);
     this->log_verdict(entry, "store");
   }
 }
 
-void Quarantine::tell(CrashNews what, const TriedRequest& tried, EngineKey engine,
+void Quarantine::tell(CrashEvent what, const TriedRequest& tried, EngineKey engine,
                       MonotonicTime at) {
   const auto known = [&](const Telling& other) {
     return other.request == tried.request && other.engine == engine && other.news == what;
@@ -169,8 +169,8 @@
 void Quarantine::tell_all(const RequestIdentity& request) {
   this->told.insert(request);
   for (const CrashEvidence& evidence : this->ledger.evidence(request)) {
-    this->tell(evidence.ended ? CrashNews::kEnded : CrashNews::kBroken, {request, evidence.caller},
-               evidence.engine, evidence.at);
+    this->tell(evidence.crashed ? CrashEvent::kCrashed : CrashEvent::kInterrupted,
+               {request, evidence.caller}, evidence.engine, evidence.at);
   }
 }
 
@@ -201,24 +201,24 @@
 
 void Quarantine::learn_one(MonotonicTime now, const CrashReport& report) {
   const MonotonicTime at = now - std::chrono::milliseconds(report.age_ms);
-  const BrokenRequest broken{{report.request, report.caller}, report.engine, false, true};
-  switch (report.news) {
-    case CrashNews::kBroken:
-      return this->ledger.on_broken(at, broken);
-    case CrashNews::kEnded:
-      this->ledger.on_broken(at, broken);
-      return this->ledger.on_engine_ended(now, report.engine);
-    case CrashNews::kCleared: {
-      const bool was_held = this->ledger.holds(report.request);
+  const InterruptedRequest broken{{report.request, report.caller}, report.engine, false, true};
+  switch (report.event) {
+    case CrashEvent::kInterrupted:
+      return this->ledger.on_interrupted(at, broken);
+    case CrashEvent::kCrashed:
+      this->ledger.on_interrupted(at, broken);
+      return this->ledger.on_engine_crashed(now, report.engine);
+    case CrashEvent::kCleared: {
+      const bool was_held = this->ledger.is_quarantined(report.request);
       this->ledger.clear(at, report.request);
       if (was_held) this->note_held_changed(false);
       return;
     }
-    case CrashNews::kOnTrial:
+    case CrashEvent::kTrialStarted:
       return this->ledger.begin_trial(at, report.request, report.engine);
-    case CrashNews::kLives:
+    case CrashEvent::kAlive:
       return this->ledger.on_engine_answered(at, report.engine);
-    case CrashNews::kOffTrial:
+    case CrashEvent::kTrialEnded:
       return this->ledger.end_trial(report.request);
   }
 }
@@ -226,8 +226,8 @@
 /// Asks what is open, and says what has been decided.
 void Quarantine::settle() {
   const MonotonicTime now = this->io.runtime.now();
-  for (const EngineKey key : this->ledger.take_questions(now)) this->ask(key);
-  for (const HeldRequest& held : this->ledger.take_verdicts(now)) {
+  for (const EngineKey key : this->ledger.take_liveness_checks(now)) this->ask(key);
+  for (const QuarantinedRequest& held : this->ledger.take_new_quarantines(now)) {
     // All nodes come to it by what a few have seen; these tell, so that the messages of a fleet do
     // not grow with its square.
     const bool own = this->told.count(held.request) > 0;
@@ -278,24 +278,24 @@
   this->io.listener.on_head(engine, reply->status, reply->headers);
   // It was asked behind all that is known by then, also where the clock shows the same time.
   this->on_engine_answered(engine, asked_at + Duration(1));
-  this->tell(CrashNews::kLives, {}, engine_key(engine), asked_at);
+  this->tell(CrashEvent::kAlive, {}, engine_key(engine), asked_at);
 }
 
-void Quarantine::log_verdict(const HeldRequest& held, const char* source) const {
+void Quarantine::log_verdict(const QuarantinedRequest& held, const char* source) const {
   this->io.metrics.count_held_back(source);
   std::string engines;
-  for (const EngineKey key : held.ended) {
+  for (const EngineKey key : held.crashed_engines) {
     const EngineView* view = this->io.engines.find_by_key(key);
     if (!engines.empty()) engines += ',';
     engines += view != nullptr ? view->record.id.value() : std::to_string(key);
   }
   log_event(LogArea::kControl, LogLevel::kWarning, "request_held_back",
             {{"identity", to_text(held.request)},
-             {"engines_ended", held.ended.size()},
+             {"engines_ended", held.crashed_engines.size()},
              {"engines", engines},
              {"callers", held.callers.size()},
              {"source", source},
-             {"for_s", to_seconds(held.left)}});
+             {"for_s", to_seconds(held.time_left)}});
 }
 
 void Quarantine::tick() {
@@ -303,7 +303,7 @@
   this->ledger.expire(this->io.runtime.now());
   this->settle();
   std::erase_if(this->told,
-                [this](const RequestIdentity& request) { return !this->ledger.knows(request); });
+                [this](const RequestIdentity& request) { return !this->ledger.contains(request); });
   this->io.metrics.set_gauge("requests_held_back", static_cast<double>(this->held().size()));
 }
 
--- a/src/relay/quarantine.hpp
+++ b/src/relay/quarantine.hpp
@@ -41,7 +41,7 @@
   /// @return whether nothing is known against any request, so that none needs an identity.
   bool idle() const { return this->ledger.empty(); }
 
-  CrashStanding standing(const TriedRequest& tried) const;
+  SuspectStatus standing(const TriedRequest& tried) const;
 
   /// @return the engines at which other suspects are under way.
   std::set<EngineKey> engines_on_trial(const RequestIdentity& request) const;
@@ -74,10 +74,10 @@
   bool lift(const RequestIdentity& request);
 
   /// @return all requests that are held back.
-  std::vector<HeldRequest> held() const;
+  std::vector<QuarantinedRequest> held() const;
 
   /// Takes over from the store what an earlier life has held back.
-  void restore(const std::vector<HeldRequest>& held);
+  void restore(const std::vector<QuarantinedRequest>& held);
 
   /// @return what is to be told to the other nodes now.
   std::vector<CrashReport> take_reports();
@@ -96,7 +96,7 @@
  private:
   /// News on its way to the other nodes.
   struct Telling {
-    CrashNews news = CrashNews::kBroken;
+    CrashEvent news = CrashEvent::kInterrupted;
     RequestIdentity request;
     EngineKey engine = 0;
     CallerKey caller = 0;
@@ -107,7 +107,7 @@
   bool may_have_ended_it(const EngineId& engine, MonotonicTime sent_at) const;
   /// @return whether anything is known against a request, whoever sends it.
   bool suspects(const RequestIdentity& request) const;
-  void tell(CrashNews what, const TriedRequest& tried, EngineKey engine, MonotonicTime at);
+  void tell(CrashEvent what, const TriedRequest& tried, EngineKey engine, MonotonicTime at);
   void tell_all(const RequestIdentity& request);
   void learn_one(MonotonicTime now, const CrashReport& report);
   void settle();
@@ -121,7 +121,7 @@
   bool replaced(const AskedEngine& asked, const HttpReply& reply) const;
   void on_reply(const AskedEngine& asked, const tl::expected<HttpReply, TransferError>& reply);
   void note_held_changed(bool own);
-  void log_verdict(const HeldRequest& held, const char* source) const;
+  void log_verdict(const QuarantinedRequest& held, const char* source) const;
   void tick();
 
   QuarantineIo io;
--- a/src/relay/quarantine_api.cpp
+++ b/src/relay/quarantine_api.cpp
@@ -20,12 +20,12 @@
 
 HttpReply list(const Quarantine& quarantine) {
   nlohmann::json held = nlohmann::json::array();
-  for (const HeldRequest& entry : quarantine.held()) {
+  for (const QuarantinedRequest& entry : quarantine.held()) {
     held.push_back({{"identity", to_text(entry.request)},
-                    {"engines_ended", entry.ended.size()},
+                    {"engines_ended", entry.crashed_engines.size()},
                     {"callers", entry.callers.size()},
-                    {"from_all_callers", entry.for_all()},
-                    {"left_s", to_seconds(entry.left)}});
+                    {"from_all_callers", entry.applies_to_all_callers()},
+                    {"left_s", to_seconds(entry.time_left)}});
   }
   return reply_of(http_status::kOk, {{"held", std::move(held)}});
 }
--- a/src/relay/quarantine_store.cpp
+++ b/src/relay/quarantine_store.cpp
@@ -19,16 +19,16 @@
   return std::chrono::milliseconds(left);
 }
 
-json to_json(const HeldRequest& held, std::uint64_t now_unix_ms) {
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(held.left).count();
+json to_json(const QuarantinedRequest& held, std::uint64_t now_unix_ms) {
+  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(held.time_left).count();
   return {{"request", to_text(held.request)},
-          {"engines_ended", held.ended},
+          {"engines_ended", held.crashed_engines},
           {"callers", held.callers},
           {"until_unix_ms", now_unix_ms + static_cast<std::uint64_t>(left)}};
 }
 
-std::vector<HeldRequest> held_from(const json& content, std::uint64_t now_unix_ms) {
-  std::vector<HeldRequest> all;
+std::vector<QuarantinedRequest> held_from(const json& content, std::uint64_t now_unix_ms) {
+  std::vector<QuarantinedRequest> all;
   try {
     for (const json& entry : content.at("held")) {
       const auto request = parse_digest(entry.at("request").get<std::string>());
@@ -121,13 +121,14 @@
 
 /// Holds what this node holds back, and so also what it has just read.
 json QuarantineStore::content() const {
-  std::vector<HeldRequest> held = this->node.quarantine().held();
-  std::sort(held.begin(), held.end(), [](const HeldRequest& left, const HeldRequest& right) {
-    return left.left > right.left;
-  });
+  std::vector<QuarantinedRequest> held = this->node.quarantine().held();
+  std::sort(held.begin(), held.end(),
+            [](const QuarantinedRequest& left, const QuarantinedRequest& right) {
+              return left.time_left > right.time_left;
+            });
   held.resize(std::min(held.size(), this->settings.most_requests));
   json list = json::array();
-  for (const HeldRequest& entry : held) {
+  for (const QuarantinedRequest& entry : held) {
     list.push_back(to_json(entry, this->runtime.unix_milliseconds()));
   }
   return {{"held", std::move(list)}};
--- a/src/relay/relay_context.cpp
+++ b/src/relay/relay_context.cpp
@@ -15,7 +15,7 @@
 void RelayContext::note_engine_ended(const EngineId& engine) {
   quarantine.on_engine_ended(engine);
   EngineView* view = engines.find(engine);
-  if (view == nullptr || std::exchange(view->ended, true)) return;
+  if (view == nullptr || std::exchange(view->terminated, true)) return;
   metrics.count_engine_ended(view->record.service.value());
   log_event(LogArea::kControl, LogLevel::kInfo, "engine_ended",
             {{"engine", engine.value()},
@@ -26,10 +26,10 @@
 void RelayContext::note_engine_answered(const EngineId& engine, MonotonicTime sent_at) {
   quarantine.on_engine_answered(engine, sent_at);
   EngineView* view = engines.find(engine);
-  if (view != nullptr) view->ended = false;
+  if (view != nullptr) view->terminated = false;
 }
 
-void RelayContext::note_limit(const LimitNews& news) {
+void RelayContext::note_limit(const LimitUpdate& news) {
   if (!load_changed) return;
   limits.push_back(news);
   note_load();
--- a/src/relay/relay_context.hpp
+++ b/src/relay/relay_context.hpp
@@ -35,7 +35,7 @@
   std::function<void(const TenantName&)> began;  ///< The same; a tenant's request runs.
   std::vector<PromptRead> reads;        ///< Not yet told to other nodes; empty where none listens.
   std::vector<EngineTrouble> troubles;  ///< The same.
-  std::vector<LimitNews> limits;        ///< The same.
+  std::vector<LimitUpdate> limits;      ///< The same.
 
   /// An engine has read a prompt and keeps its parts.
   void note_read(const EngineId& engine, const std::vector<PromptPart>& parts);
@@ -44,7 +44,7 @@
   void note_trouble(const EngineTrouble& trouble);
 
   /// An engine has changed its limit.
-  void note_limit(const LimitNews& news);
+  void note_limit(const LimitUpdate& news);
 
   /// Nobody listens at the engine's address any more: it has ended, not just a connection to it.
   void note_engine_ended(const EngineId& engine);
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -39,7 +39,7 @@
       splits_(random_fraction(io.runtime)),
       slack_from_(io.runtime.now() + counted_for(settings.retry_budget)) {
   quarantine_.on_news([this] { context_.note_load(); });
-  listener_.on_limit_news([this](const LimitNews& news) { context_.note_limit(news); });
+  listener_.on_limit_news([this](const LimitUpdate& news) { context_.note_limit(news); });
   listener_.on_trouble([this](const EngineTrouble& trouble) { context_.note_trouble(trouble); });
 }
 
@@ -74,7 +74,7 @@
 void RelayNode::set_engines(const std::vector<EngineRecord>& records) {
   engines_known_ = true;
   std::set<EngineId> listed;
-  for (const EngineRecord& record : records) listed.insert(engines_.start_named_by(record));
+  for (const EngineRecord& record : records) listed.insert(engines_.current_id(record));
   for (const auto& [id, engine] : engines_.all()) {
     if (listed.count(id) == 0) note_unlisted(id);
   }
@@ -87,7 +87,7 @@
 
 /// Another start of an engine has the address or the name: the one before has ended.
 void RelayNode::note_replaced(const EngineRecord& record) {
-  const EngineView* before = engines_.find_named(record.own_name());
+  const EngineView* before = engines_.find_by_name(record.own_name());
   const bool moved = before != nullptr && before->record.address != record.address;
   if (moved && address_free_) address_free_(before->record.address);
   if (quarantine_.idle()) return;
@@ -117,7 +117,7 @@
 }
 
 void RelayNode::remove_engine(const std::string& name) {
-  const EngineView* known = engines_.find_named(name);
+  const EngineView* known = engines_.find_by_name(name);
   if (known == nullptr) return;
   const EngineId id = known->record.id;
   note_unlisted(id);
@@ -125,7 +125,7 @@
 }
 
 void RelayNode::distrust_engine(const std::string& name) {
-  const EngineView* known = engines_.find_named(name);
+  const EngineView* known = engines_.find_by_name(name);
   if (known != nullptr) forget_engine(EngineId(known->record.id));
 }
 
@@ -138,8 +138,8 @@
   if (address_free_) address_free_(address);
 }
 
-void RelayNode::learn_limit(const EngineId& engine, const ToldLimit& told) {
-  listener_.on_peer_limit({engine, to_heard(told, io_.runtime.now())});
+void RelayNode::learn_limit(const EngineId& engine, const LimitReport& told) {
+  listener_.on_peer_limit({engine, to_observed(told, io_.runtime.now())});
 }
 
 void RelayNode::learn_prompt_read(const PromptRead& read) {
--- a/src/relay/relay_node.hpp
+++ b/src/relay/relay_node.hpp
@@ -108,13 +108,13 @@
   std::vector<EngineTrouble> take_troubles() { return std::exchange(context_.troubles, {}); }
 
   /// @return limits of engines that have changed since the last call.
-  std::vector<LimitNews> take_limits() { return std::exchange(context_.limits, {}); }
+  std::vector<LimitUpdate> take_limits() { return std::exchange(context_.limits, {}); }
 
   /// An engine has read a prompt for another node.
   void learn_prompt_read(const PromptRead& read);
 
   /// An engine has told another node its limit.
-  void learn_limit(const EngineId& engine, const ToldLimit& told);
+  void learn_limit(const EngineId& engine, const LimitReport& told);
 
   /// Learns of the other relay nodes, which share the budgets.
   void set_fleet(const Fleet& fleet);
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -198,7 +198,7 @@
   // The engine may say that it wants no more while the connection to it is made.
   outgoing.still_wanted = [&context = context_, engine = record.id, permit = permit_] {
     const MonotonicTime now = context.runtime.now();
-    return !context.engines.notices().wants_none(now, engine) &&
+    return !context.engines.notices().refuses_requests(now, engine) &&
            context.permits.may_send(engine, permit);
   };
   outgoing.belongs = [weak = weak_from_this()](int, const HttpHeaders& headers) {
@@ -235,15 +235,15 @@
   engine_held_ = true;
   sent_at_ = context_.runtime.now();
   heard_at_ = sent_at_;
-  if (crash_standing().suspect()) {
+  if (crash_standing().is_suspect()) {
     on_trial_ = true;
     context_.quarantine.begin_trial(identity_->request, engine);
   }
   if (step == Step::kDecodeFromHandle) unread_ = 0;
   if (service_->model) context_.engines.set_memory(engine, service_->model->kv_tokens);
   count_send(step == Step::kPrefill);
-  alone_when_sent_ = view->requests_there(sent_at_) < 0.5;
-  context_.engines.on_sent(engine, {unread_, deferred_});
+  alone_when_sent_ = view->total_requests(sent_at_) < 0.5;
+  context_.engines.on_attempt_sent(engine, {unread_, deferred_});
   if (prompt_) context_.note_load();
   if (step == Step::kPrefill) context_.engines.on_prompt_sent(unread_);
   context_.metrics.count_attempt(service_name_.value(),
@@ -364,10 +364,10 @@
 
 void RelaySession::release_engine() {
   if (!std::exchange(engine_held_, false)) return;
-  context_.engines.on_ended(engine_);
+  context_.engines.on_attempt_ended(engine_);
   if (std::exchange(on_trial_, false)) context_.quarantine.end_trial(identity_->request, engine_);
   if (prompt_) context_.note_load();
-  if (!unread_released_) context_.engines.on_read(engine_, {unread_, deferred_});
+  if (!unread_released_) context_.engines.on_prompt_read(engine_, {unread_, deferred_});
   unread_released_ = true;
 }
 
@@ -400,20 +400,21 @@
   if (identity_ && result != kAnswered) context_.quarantine.on_failed(identity_->request);
   const MonotonicTime now = context_.runtime.now();
   context_.metrics.count_request(service_name_.value(), result, now - arrived_);
-  log_event(LogArea::kCallers, LogLevel::kInfo, "request_ended",
-            {{"request", id_},
-             {"result", result},
-             {"status", status_},
-             {"route", route_.name},
-             {"tenant", std::string(tenant_name())},
-             {"config", table_->version()},
-             {"engine", engine_.value()},
-             {"events", stream_.events()},
-             {"sends", history_.sends},
-             {"identity", crash_standing().suspect() ? to_text(identity_->request) : std::string()},
-             {"first_ms", whole_ms(stream_.first_event_after(arrived_))},
-             {"gap_ms", whole_ms(stream_.longest_pause())},
-             {"took_ms", whole_ms(now - arrived_)}});
+  log_event(
+      LogArea::kCallers, LogLevel::kInfo, "request_ended",
+      {{"request", id_},
+       {"result", result},
+       {"status", status_},
+       {"route", route_.name},
+       {"tenant", std::string(tenant_name())},
+       {"config", table_->version()},
+       {"engine", engine_.value()},
+       {"events", stream_.events()},
+       {"sends", history_.sends},
+       {"identity", crash_standing().is_suspect() ? to_text(identity_->request) : std::string()},
+       {"first_ms", whole_ms(stream_.first_event_after(arrived_))},
+       {"gap_ms", whole_ms(stream_.longest_pause())},
+       {"took_ms", whole_ms(now - arrived_)}});
   const auto handler = std::exchange(on_end_, nullptr);
   if (handler) handler();
 }
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -78,13 +78,13 @@
   void on_whole_answer();
 
   // Engines that end under it.
-  CrashStanding crash_standing() const;
+  SuspectStatus crash_standing() const;
   bool runs_apart() const;
   bool ends_engines() const;
   bool held_back();
-  void answer_held_back(const CrashStanding& standing);
+  void answer_held_back(const SuspectStatus& standing);
   /// @return why it is not sent now, or null.
-  static const char* reason_to_wait(const CrashStanding& standing);
+  static const char* reason_to_wait(const SuspectStatus& standing);
   void keep_apart();
   void note_broken();
   void note_silence();
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -83,11 +83,11 @@
   note_began();
   if (!unread_released_) {
     unread_released_ = true;
-    context_.engines.on_read(engine_, {unread_, deferred_});
+    context_.engines.on_prompt_read(engine_, {unread_, deferred_});
     if (prompt_) note_prompt_read();
     if (step_ == Step::kDecodeFromHandle) {
       context_.engines.model_of(service_name_)
-          .on_handed_over(context_.runtime.now() - sent_at_, deferred_);
+          .on_handover(context_.runtime.now() - sent_at_, deferred_);
     }
   }
   if (!stream_.may_follow(event)) {
@@ -100,7 +100,7 @@
   }
   const MonotonicTime now = context_.runtime.now();
   const auto pause = stream_.pass_on(now, event);
-  if (pause) context_.engines.on_event_gap(now, engine_, *pause);
+  if (pause) context_.engines.on_event_interval(now, engine_, *pause);
   responder_->write(event.bytes);
 }
 
@@ -119,16 +119,16 @@
 }
 
 void RelaySession::note_health(AttemptHealth health) {
-  context_.engines.on_health(context_.runtime.now(), engine_, health);
+  context_.engines.on_attempt_health(context_.runtime.now(), engine_, health);
   const bool misdirected = health == AttemptHealth::kMisdirected;
   const EngineView* view = context_.engines.find(engine_);
   if (view == nullptr) return;
-  const double there = view->requests_there(context_.runtime.now());
+  const double there = view->total_requests(context_.runtime.now());
   const bool has_room = there < view->record.slots * kRoomShare;
   // An engine that rests is sent nothing that could be refused in a row. Its wait is for this node;
   // for the others it is a sign of load, which they may override.
-  const bool rests = view->rests_until > context_.runtime.now();
-  const bool again = view->refusals_in_a_row > 1;
+  const bool rests = view->cooldown_until > context_.runtime.now();
+  const bool again = view->consecutive_refusals > 1;
   const bool refuses = health == AttemptHealth::kBusy && has_room && (rests || again);
   if (!misdirected && !refuses && health != AttemptHealth::kUnreachable) return;
   const TroubleKind kind = misdirected ? TroubleKind::kMisdirected : TroubleKind::kUnusable;
@@ -216,7 +216,7 @@
   const Duration took = context_.runtime.now() - sent_at_;
   if (fetch_address_.empty()) return model.on_prompt_read(unread_, took, alone);
   if (!alone) return;
-  model.on_fetched(unread_, service_->model->move_ms(prompt_->prompt_tokens - unread_), took);
+  model.on_fetch(unread_, service_->model->move_ms(prompt_->prompt_tokens - unread_), took);
 }
 
 void RelaySession::on_stream_end() {
@@ -226,7 +226,7 @@
   }
   note_health(AttemptHealth::kGood);
   if (const auto pause = stream_.mean_pause()) {
-    context_.engines.model_of(service_name_).on_stream_pace(*pause);
+    context_.engines.model_of(service_name_).on_event_interval(*pause);
   }
   if (identity_) context_.quarantine.on_answered(identity_->request);
   handle_.clear();
--- a/src/relay/relay_session_log.cpp
+++ b/src/relay/relay_session_log.cpp
@@ -11,7 +11,7 @@
   const EngineView* view = context_.engines.find(engine_);
   const EngineModel& model = std::as_const(context_.engines).model_of(service_name_);
   const bool load_known = view != nullptr && view->load.has_value();
-  const bool peers_known = view != nullptr && view->peers.has_value();
+  const bool peers_known = view != nullptr && view->peer_load.has_value();
   log_event(LogArea::kCallers, LogLevel::kInfo, event,
             {{"request", id_},
              {"route", route_.name},
@@ -23,13 +23,13 @@
              {"cost_ms", chosen_.cost_ms},
              {"expected_ms", expected_ms_},
              {"deferred", deferred_},
-             {"reading_ms", model.reading().read_ms(static_cast<double>(unread_))},
+             {"reading_ms", model.prefill().prefill_ms(static_cast<double>(unread_))},
              {"handover_ms", model.handover_ms()},
              {"candidates", chosen_.candidates},
              {"unread", unread_},
              {"fetch_from", fetch_address_},
              {"in_flight", view == nullptr ? 0 : view->in_flight},
-             {"peers_in_flight", peers_known ? view->peers->in_flight : 0},
+             {"peers_in_flight", peers_known ? view->peer_load->in_flight : 0},
              {"load_age_ms", load_known ? whole_ms(now - view->load_at) : -1},
              {"sends", history_.sends},
              {"may_have_run", history_.may_have_run},
--- a/src/relay/relay_session_permit.cpp
+++ b/src/relay/relay_session_permit.cpp
@@ -81,7 +81,7 @@
   if (ended_) return;
   const EngineView* view = context_.engines.find(engine_);
   const MonotonicTime now = context_.runtime.now();
-  const bool taken = view != nullptr && view->takes_requests(now);
+  const bool taken = view != nullptr && view->accepts_requests(now);
   if (!taken || !context_.permits.may_send(engine_, permit_)) {
     give_back(permit_);
     return set_out_again(engine_);
--- a/src/relay/relay_session_quarantine.cpp
+++ b/src/relay/relay_session_quarantine.cpp
@@ -13,7 +13,7 @@
 
 /// Engines that may have ended under a request, from which on it is sent to no further one until
 /// that is known: as many as are enough to hold it back.
-constexpr std::size_t kStopFrom = CrashLedgerSettings().enough;
+constexpr std::size_t kStopFrom = CrashLedgerSettings().quarantine_threshold;
 
 /// An engine that has said nothing for so long when it is given up may have gone dark: many times
 /// the pause between the tokens of a busy batch.
@@ -26,17 +26,17 @@
 
 }  // namespace
 
-CrashStanding RelaySession::crash_standing() const {
-  return identity_ ? context_.quarantine.standing(*identity_) : CrashStanding();
+SuspectStatus RelaySession::crash_standing() const {
+  return identity_ ? context_.quarantine.standing(*identity_) : SuspectStatus();
 }
 
 bool RelaySession::runs_apart() const {
-  return crash_standing().broken >= kRunApartFrom;
+  return crash_standing().interruptions >= kRunApartFrom;
 }
 
 bool RelaySession::ends_engines() const {
-  const CrashStanding standing = crash_standing();
-  return standing.held_for.has_value() || standing.broken >= kStopFrom;
+  const SuspectStatus standing = crash_standing();
+  return standing.quarantine_left.has_value() || standing.interruptions >= kStopFrom;
 }
 
 /// A request under which engines have ended one after the other gets its final answer at once. It
@@ -44,8 +44,8 @@
 bool RelaySession::held_back() {
   if (context_.quarantine.idle()) return false;
   identity_ = identity_of(request_, tenant_name());
-  const CrashStanding standing = crash_standing();
-  if (standing.held_for) {
+  const SuspectStatus standing = crash_standing();
+  if (standing.quarantine_left) {
     answer_held_back(standing);
     return true;
   }
@@ -57,33 +57,34 @@
 
 /// The status says that it has not run; that and the words tell the caller to mend the request. A
 /// client error would be truer of it, but says nothing about whether it has run.
-void RelaySession::answer_held_back(const CrashStanding& standing) {
+void RelaySession::answer_held_back(const SuspectStatus& standing) {
   context_.quarantine.on_held_again(identity_->request);
-  const std::string why = std::to_string(standing.ended) + " engines have ended under this request";
+  const std::string why =
+      std::to_string(standing.crashes) + " engines have ended under this request";
   log_attempt("held_back", why);
   HttpHeaders headers;
-  headers.add(context_.dialect.names().retry_after, retry_after_text(*standing.held_for));
+  headers.add(context_.dialect.names().retry_after, retry_after_text(*standing.quarantine_left));
   respond(http_status::kTooManyRequests, headers, why + kMendIt, "held_back");
 }
 
-const char* RelaySession::reason_to_wait(const CrashStanding& standing) {
-  if (!standing.suspect()) return nullptr;
+const char* RelaySession::reason_to_wait(const SuspectStatus& standing) {
+  if (!standing.is_suspect()) return nullptr;
   // One broken connection is no reason to hold up what a caller sends again and again.
-  const bool strong = standing.ended > 0 || standing.broken >= kRunApartFrom;
-  if (standing.under_way && strong) {
+  const bool strong = standing.crashes > 0 || standing.interruptions >= kRunApartFrom;
+  if (standing.in_flight && strong) {
     return "another try is under way, and engines may have ended under it";
   }
   // Others have ended engines with it. That is no reason to refuse whom nothing is known against;
   // but its own try tells, and goes no further than one engine.
-  const bool known = standing.ended == standing.broken;
-  if (standing.broken < kStopFrom || known) return nullptr;
+  const bool known = standing.crashes == standing.interruptions;
+  if (standing.interruptions < kStopFrom || known) return nullptr;
   return "it is being found out whether engines have ended under it";
 }
 
 /// Suspects that run apart from each other are told apart by the next engine that ends.
 void RelaySession::keep_apart() {
   apart_from_.clear();
-  if (!crash_standing().suspect()) return;
+  if (!crash_standing().is_suspect()) return;
   apart_from_ = context_.quarantine.engines_on_trial(identity_->request);
 }
 
--- a/src/relay/relay_session_rest.cpp
+++ b/src/relay/relay_session_rest.cpp
@@ -39,7 +39,7 @@
 Duration RelaySession::comes_back_after() const {
   const Duration usual = context_.settings.retry_after;
   const MonotonicTime now = context_.runtime.now();
-  const auto first = context_.engines.first_return(now, service_name_);
+  const auto first = context_.engines.next_available_at(now, service_name_);
   return first ? std::max(usual, *first - now) : usual;
 }
 
--- a/src/relay/role_coordinator.cpp
+++ b/src/relay/role_coordinator.cpp
@@ -61,7 +61,7 @@
   EngineListener& listener = node_.listener();
   listener.on_head(record.id, reply.status, reply.headers);
   if (report->leaving) listener.on_leaving(record.id);
-  if (node_.engines().notices().leaving(record.id)) return;
+  if (node_.engines().notices().draining(record.id)) return;
   if (report->changing || report->stage == stage) return;
   order(record, stage, *report);
 }
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -19,8 +19,8 @@
   return keyed;
 }
 
-EngineNews news_of(const LoadMessage& message) {
-  EngineNews news;
+EngineUpdates news_of(const LoadMessage& message) {
+  EngineUpdates news;
   for (const PromptRead& read : message.reads) {
     news.reads.push_back({engine_key(read.engine), read.parts});
   }
@@ -163,7 +163,7 @@
   this->take_news(sum.news);
 }
 
-void ZoneExchange::append_news(EngineNews& news, const EngineNews& more) {
+void ZoneExchange::append_news(EngineUpdates& news, const EngineUpdates& more) {
   if (news.reads.size() + more.reads.size() > this->settings.most_reads) {
     log_event(LogArea::kControl, LogLevel::kWarning, "news_left_out",
               {{"reads", more.reads.size()}, {"waiting", news.reads.size()}});
@@ -188,7 +188,7 @@
   return found == this->told.rend() ? nothing : found->load;
 }
 
-void ZoneExchange::take_news(const EngineNews& news) {
+void ZoneExchange::take_news(const EngineUpdates& news) {
   this->node.quarantine().learn(news.crashes);
   EngineDirectory& engines = this->node.engines();
   for (const KeyedRead& read : news.reads) {
@@ -268,7 +268,7 @@
   zone_sum.news = this->zone_news;
   this->send_to_zones(now, zone_sum);
 
-  EngineNews news = std::exchange(this->zone_news, {});
+  EngineUpdates news = std::exchange(this->zone_news, {});
   news.append(std::exchange(this->other_news, {}));
   // The zone's second collector knows all that the first does, and is asked by nobody.
   const auto subscribers = this->collector.subscribers();
--- a/src/relay/zone_exchange.hpp
+++ b/src/relay/zone_exchange.hpp
@@ -87,8 +87,8 @@
   void send_to_members(const std::vector<Subscriber>& subscribers, const LoadDigest& whole);
   void take_own_sum(MonotonicTime now, const LoadDigest& whole);
   void take_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted);
-  void append_news(EngineNews& news, const EngineNews& more);
-  void take_news(const EngineNews& news);
+  void append_news(EngineUpdates& news, const EngineUpdates& more);
+  void take_news(const EngineUpdates& news);
   void note_view(MonotonicTime now);
   void note_seen(const CatalogRevisions& revisions);
   void note_reader(std::uint32_t store_age_ms);
@@ -120,8 +120,8 @@
   std::size_t view_messages = 0;  ///< That the last sum took to be sent to all members.
   std::deque<Told> told;
   std::uint64_t sums_sent = 0;
-  EngineNews zone_news;   ///< Of this zone's nodes, since the last sum.
-  EngineNews other_news;  ///< Of the other zones, since the last sum.
+  EngineUpdates zone_news;   ///< Of this zone's nodes, since the last sum.
+  EngineUpdates other_news;  ///< Of the other zones, since the last sum.
   CatalogRevisions seen;
   MonotonicTime store_heard_at{};  ///< The last confirmation by the store that a reader told of.
   std::map<NodeId, MessageNumber> views;  ///< The last one of each collector.
--- a/tests/core/relay/crash_ledger_test.cpp
+++ b/tests/core/relay/crash_ledger_test.cpp
@@ -6,47 +6,47 @@
 
 using namespace shuntbank;
 using namespace std::chrono_literals;
-using relay::BrokenRequest;
 using relay::CallerKey;
 using relay::CrashLedger;
 using relay::CrashLedgerSettings;
-using relay::CrashStanding;
 using relay::EngineKey;
+using relay::InterruptedRequest;
 using relay::RequestIdentity;
+using relay::SuspectStatus;
 
 namespace {
 
-constexpr RequestIdentity kGuilty{1, 1};
-constexpr RequestIdentity kNeighbour{2, 2};
+constexpr RequestIdentity kCulprit{1, 1};
+constexpr RequestIdentity kBystander{2, 2};
 constexpr RequestIdentity kOther{3, 3};
 constexpr CallerKey kCaller = 70;
 constexpr CallerKey kOtherCaller = 71;
 
-BrokenRequest broken(const RequestIdentity& request, EngineKey engine, bool silent = false) {
+InterruptedRequest interruption(const RequestIdentity& request, EngineKey engine,
+                                bool silent = false) {
   return {{request, kCaller}, engine, silent, false};
 }
 
-CrashStanding standing(const CrashLedger& ledger, MonotonicTime now,
-                       const RequestIdentity& request) {
-  return ledger.standing(now, {request, kCaller});
+SuspectStatus status(const CrashLedger& ledger, MonotonicTime now, const RequestIdentity& request) {
+  return ledger.status(now, {request, kCaller});
 }
 
 /// A ledger whose clock is moved by hand.
 struct Scene {
   /// An engine ends, and with it the requests that it has.
-  void end_engine(EngineKey engine, const std::vector<RequestIdentity>& requests) {
+  void crash_engine(EngineKey engine, const std::vector<RequestIdentity>& requests) {
     this->now += 100ms;
     for (const RequestIdentity& request : requests) {
-      this->ledger.on_broken(this->now, broken(request, engine));
+      this->ledger.on_interrupted(this->now, interruption(request, engine));
     }
-    this->ledger.on_engine_ended(this->now, engine);
+    this->ledger.on_engine_crashed(this->now, engine);
   }
 
-  bool held(const RequestIdentity& request) const {
-    return standing(this->ledger, this->now, request).held_for.has_value();
+  bool is_quarantined(const RequestIdentity& request) const {
+    return status(this->ledger, this->now, request).quarantine_left.has_value();
   }
 
-  void pass(Duration duration) {
+  void advance(Duration duration) {
     this->now += duration;
     this->ledger.expire(this->now);
   }
@@ -57,214 +57,215 @@
 
 }  // namespace
 
-Test(crash_ledger, holds_a_request_back_after_three_ended_engines_and_not_before) {
+Test(crash_ledger, quarantines_a_request_after_exactly_three_crashes) {
   Scene scene;
-  scene.end_engine(1, {kGuilty});
-  cr_assert_not(scene.held(kGuilty), "one may be chance");
-  scene.end_engine(2, {kGuilty});
-  cr_assert_not(scene.held(kGuilty));
-  scene.end_engine(3, {kGuilty});
-  cr_assert(scene.held(kGuilty));
-  const auto verdicts = scene.ledger.take_verdicts(scene.now);
-  cr_assert_eq(verdicts.size(), 1U);
-  cr_assert_eq(verdicts.front().ended.size(), 3U, "with what speaks against it");
-  cr_assert(scene.ledger.take_verdicts(scene.now).empty(), "each once");
+  scene.crash_engine(1, {kCulprit});
+  cr_assert_not(scene.is_quarantined(kCulprit), "one may be chance");
+  scene.crash_engine(2, {kCulprit});
+  cr_assert_not(scene.is_quarantined(kCulprit));
+  scene.crash_engine(3, {kCulprit});
+  cr_assert(scene.is_quarantined(kCulprit));
+  const auto quarantines = scene.ledger.take_new_quarantines(scene.now);
+  cr_assert_eq(quarantines.size(), 1U);
+  cr_assert_eq(quarantines.front().crashed_engines.size(), 3U, "with what speaks against it");
+  cr_assert(scene.ledger.take_new_quarantines(scene.now).empty(), "each once");
 }
 
 Test(crash_ledger, counts_each_engine_once) {
   Scene scene;
-  for (int i = 0; i < 5; ++i) scene.end_engine(1, {kGuilty});
-  cr_assert_eq(standing(scene.ledger, scene.now, kGuilty).ended, 1U);
+  for (int i = 0; i < 5; ++i) scene.crash_engine(1, {kCulprit});
+  cr_assert_eq(status(scene.ledger, scene.now, kCulprit).crashes, 1U);
 }
 
-Test(crash_ledger, does_not_count_a_connection_that_broke_while_the_engine_lives) {
+Test(crash_ledger, ignores_an_interruption_when_the_engine_is_alive) {
   Scene scene;
   for (const EngineKey engine : {1, 2, 3, 4}) {
-    scene.ledger.on_broken(scene.now, broken(kOther, engine));
+    scene.ledger.on_interrupted(scene.now, interruption(kOther, engine));
   }
-  cr_assert_eq(scene.ledger.take_questions(scene.now).size(), 4U, "it is asked which have ended");
-  cr_assert(scene.ledger.take_questions(scene.now).empty(), "and not again at once");
+  cr_assert_eq(scene.ledger.take_liveness_checks(scene.now).size(), 4U,
+               "it is asked which have ended");
+  cr_assert(scene.ledger.take_liveness_checks(scene.now).empty(), "and not again at once");
   for (const EngineKey engine : {1, 2, 3, 4}) {
     scene.ledger.on_engine_answered(scene.now + 1ms, engine);
   }
-  cr_assert_not(standing(scene.ledger, scene.now, kOther).suspect());
+  cr_assert_not(status(scene.ledger, scene.now, kOther).is_suspect());
 }
 
-Test(crash_ledger, does_not_take_again_what_an_answer_has_refuted) {
+Test(crash_ledger, ignores_a_repeated_report_that_an_answer_disproved) {
   // News is told a few times.
   Scene scene;
-  const BrokenRequest heard{{kOther, kCaller}, 1, false, true};
-  scene.ledger.on_broken(scene.now, heard);
+  const InterruptedRequest report{{kOther, kCaller}, 1, false, true};
+  scene.ledger.on_interrupted(scene.now, report);
   scene.ledger.on_engine_answered(scene.now + 1ms, 1);
-  scene.ledger.on_broken(scene.now, heard);
-  cr_assert_not(standing(scene.ledger, scene.now, kOther).suspect());
+  scene.ledger.on_interrupted(scene.now, report);
+  cr_assert_not(status(scene.ledger, scene.now, kOther).is_suspect());
 }
 
-Test(crash_ledger, leaves_it_to_the_node_that_saw_it_to_ask_the_engine) {
+Test(crash_ledger, checks_only_engines_that_interrupted_own_requests) {
   Scene scene;
-  scene.ledger.on_broken(scene.now, {{kOther, kCaller}, 1, false, true});
-  scene.ledger.on_broken(scene.now, broken(kOther, 2));
-  const auto questions = scene.ledger.take_questions(scene.now);
-  cr_assert_eq(questions.size(), 1U);
-  cr_assert_eq(questions.front(), 2U);
+  scene.ledger.on_interrupted(scene.now, {{kOther, kCaller}, 1, false, true});
+  scene.ledger.on_interrupted(scene.now, interruption(kOther, 2));
+  const auto checks = scene.ledger.take_liveness_checks(scene.now);
+  cr_assert_eq(checks.size(), 1U);
+  cr_assert_eq(checks.front(), 2U);
 }
 
-Test(crash_ledger, takes_no_answer_for_a_sign_of_life_that_was_asked_for_before_the_end) {
+Test(crash_ledger, ignores_an_answer_to_a_request_sent_before_the_crash) {
   Scene scene;
   const MonotonicTime sent = scene.now;
-  scene.end_engine(1, {kGuilty});
+  scene.crash_engine(1, {kCulprit});
   scene.ledger.on_engine_answered(sent, 1);
-  cr_assert_eq(standing(scene.ledger, scene.now, kGuilty).ended, 1U);
+  cr_assert_eq(status(scene.ledger, scene.now, kCulprit).crashes, 1U);
 }
 
-Test(crash_ledger, forgets_what_could_not_be_proved) {
+Test(crash_ledger, drops_unconfirmed_interruptions) {
   Scene scene;
   for (const EngineKey engine : {1, 2, 3})
-    scene.ledger.on_broken(scene.now, broken(kOther, engine));
-  scene.pass(CrashLedgerSettings().proof_within + 1s);
-  cr_assert_not(standing(scene.ledger, scene.now, kOther).suspect());
+    scene.ledger.on_interrupted(scene.now, interruption(kOther, engine));
+  scene.advance(CrashLedgerSettings().confirmation_timeout + 1s);
+  cr_assert_not(status(scene.ledger, scene.now, kOther).is_suspect());
 }
 
-Test(crash_ledger, counts_silence_only_once_the_engine_is_known_to_have_ended) {
+Test(crash_ledger, counts_a_timeout_only_after_the_crash_is_confirmed) {
   Scene scene;
-  scene.ledger.on_broken(scene.now, broken(kGuilty, 1, true));
-  cr_assert_not(standing(scene.ledger, scene.now, kGuilty).suspect());
-  scene.ledger.on_engine_ended(scene.now + 3s, 1);
-  cr_assert_eq(standing(scene.ledger, scene.now, kGuilty).ended, 1U);
+  scene.ledger.on_interrupted(scene.now, interruption(kCulprit, 1, true));
+  cr_assert_not(status(scene.ledger, scene.now, kCulprit).is_suspect());
+  scene.ledger.on_engine_crashed(scene.now + 3s, 1);
+  cr_assert_eq(status(scene.ledger, scene.now, kCulprit).crashes, 1U);
 }
 
-Test(crash_ledger, counts_an_end_that_is_known_before_what_ended_there) {
+Test(crash_ledger, counts_a_crash_reported_before_the_interruption) {
   Scene scene;
-  scene.ledger.on_engine_ended(scene.now, 1);
-  scene.ledger.on_broken(scene.now + 200ms, broken(kGuilty, 1));
-  cr_assert_eq(standing(scene.ledger, scene.now, kGuilty).ended, 1U);
+  scene.ledger.on_engine_crashed(scene.now, 1);
+  scene.ledger.on_interrupted(scene.now + 200ms, interruption(kCulprit, 1));
+  cr_assert_eq(status(scene.ledger, scene.now, kCulprit).crashes, 1U);
 }
 
-Test(crash_ledger, does_not_blame_neighbours_for_what_the_guilty_one_accounts_for) {
+Test(crash_ledger, does_not_count_crashes_that_a_quarantined_request_explains) {
   Scene scene;
-  scene.end_engine(1, {kGuilty, kNeighbour});
-  scene.end_engine(2, {kGuilty, kNeighbour});
-  scene.end_engine(3, {kGuilty});
-  scene.end_engine(4, {kNeighbour});
-  cr_assert(scene.held(kGuilty));
-  cr_assert_not(scene.held(kNeighbour), "only one of its three ends is its own");
+  scene.crash_engine(1, {kCulprit, kBystander});
+  scene.crash_engine(2, {kCulprit, kBystander});
+  scene.crash_engine(3, {kCulprit});
+  scene.crash_engine(4, {kBystander});
+  cr_assert(scene.is_quarantined(kCulprit));
+  cr_assert_not(scene.is_quarantined(kBystander), "only one of its three ends is its own");
 }
 
-Test(crash_ledger, holds_back_who_goes_on_ending_engines_when_another_is_held_back) {
+Test(crash_ledger, quarantines_a_request_that_keeps_crashing_engines) {
   // Both stood beside three ended engines, and the wrong one came first.
   Scene scene;
-  for (const EngineKey engine : {1, 2, 3}) scene.end_engine(engine, {kGuilty, kNeighbour});
-  cr_assert_neq(scene.held(kGuilty), scene.held(kNeighbour));
-  const RequestIdentity free = scene.held(kGuilty) ? kNeighbour : kGuilty;
-  scene.end_engine(4, {free});
-  cr_assert(scene.held(free));
+  for (const EngineKey engine : {1, 2, 3}) scene.crash_engine(engine, {kCulprit, kBystander});
+  cr_assert_neq(scene.is_quarantined(kCulprit), scene.is_quarantined(kBystander));
+  const RequestIdentity unquarantined = scene.is_quarantined(kCulprit) ? kBystander : kCulprit;
+  scene.crash_engine(4, {unquarantined});
+  cr_assert(scene.is_quarantined(unquarantined));
 }
 
-Test(crash_ledger, clears_who_runs_to_the_end) {
+Test(crash_ledger, clears_a_request_that_completes) {
   Scene scene;
-  scene.end_engine(1, {kNeighbour});
-  scene.end_engine(2, {kNeighbour});
-  scene.ledger.clear(scene.now, kNeighbour);
-  scene.end_engine(3, {kNeighbour});
-  cr_assert_not(scene.held(kNeighbour));
-  scene.ledger.on_broken(scene.now - 200ms, broken(kNeighbour, 2));
-  cr_assert_eq(standing(scene.ledger, scene.now, kNeighbour).broken, 1U,
+  scene.crash_engine(1, {kBystander});
+  scene.crash_engine(2, {kBystander});
+  scene.ledger.clear(scene.now, kBystander);
+  scene.crash_engine(3, {kBystander});
+  cr_assert_not(scene.is_quarantined(kBystander));
+  scene.ledger.on_interrupted(scene.now - 200ms, interruption(kBystander, 2));
+  cr_assert_eq(status(scene.ledger, scene.now, kBystander).interruptions, 1U,
                "late news is void as well");
 }
 
-Test(crash_ledger, lets_go_after_the_hold_and_needs_one_more_end_to_hold_back_again) {
+Test(crash_ledger, quarantine_expires_and_returns_after_one_more_crash) {
   Scene scene;
-  for (const EngineKey engine : {1, 2, 3}) scene.end_engine(engine, {kGuilty});
-  scene.pass(CrashLedgerSettings().hold - 1s);
-  cr_assert(scene.held(kGuilty));
-  scene.ledger.on_held_again(scene.now, kGuilty);
-  scene.pass(2s);
-  cr_assert(scene.held(kGuilty), "it counts from the last try");
-  scene.pass(CrashLedgerSettings().hold);
-  cr_assert_not(scene.held(kGuilty));
-  scene.end_engine(4, {kGuilty});
-  cr_assert(scene.held(kGuilty));
+  for (const EngineKey engine : {1, 2, 3}) scene.crash_engine(engine, {kCulprit});
+  scene.advance(CrashLedgerSettings().quarantine_duration - 1s);
+  cr_assert(scene.is_quarantined(kCulprit));
+  scene.ledger.extend_quarantine(scene.now, kCulprit);
+  scene.advance(2s);
+  cr_assert(scene.is_quarantined(kCulprit), "it counts from the last try");
+  scene.advance(CrashLedgerSettings().quarantine_duration);
+  cr_assert_not(scene.is_quarantined(kCulprit));
+  scene.crash_engine(4, {kCulprit});
+  cr_assert(scene.is_quarantined(kCulprit));
 }
 
-Test(crash_ledger, does_not_take_back_from_the_store_what_was_let_go) {
+Test(crash_ledger, does_not_restore_a_lifted_quarantine) {
   Scene scene;
-  for (const EngineKey engine : {1, 2, 3}) scene.end_engine(engine, {kGuilty});
-  const auto held = scene.ledger.held(scene.now);
-  scene.ledger.clear(scene.now, kGuilty);
-  scene.ledger.restore(scene.now, held.front());
-  cr_assert_not(scene.held(kGuilty));
-  CrashLedger next_life;
-  next_life.restore(scene.now, held.front());
-  cr_assert(standing(next_life, scene.now, kGuilty).held_for.has_value());
+  for (const EngineKey engine : {1, 2, 3}) scene.crash_engine(engine, {kCulprit});
+  const auto quarantined = scene.ledger.quarantined(scene.now);
+  scene.ledger.clear(scene.now, kCulprit);
+  scene.ledger.restore(scene.now, quarantined.front());
+  cr_assert_not(scene.is_quarantined(kCulprit));
+  CrashLedger restarted;
+  restarted.restore(scene.now, quarantined.front());
+  cr_assert(status(restarted, scene.now, kCulprit).quarantine_left.has_value());
 }
 
-Test(crash_ledger, holds_back_only_whose_copies_ended_engines_until_others_confirm_it) {
+Test(crash_ledger, quarantines_a_single_caller_until_a_second_one_crashes_an_engine) {
   // Nobody gets another's request refused by sending the same.
   Scene scene;
-  for (const EngineKey engine : {1, 2, 3}) scene.end_engine(engine, {kGuilty});
-  const auto other = [&] { return scene.ledger.standing(scene.now, {kGuilty, kOtherCaller}); };
-  cr_assert(scene.held(kGuilty));
-  cr_assert_not(other().held_for);
-  cr_assert_not(scene.ledger.take_verdicts(scene.now).front().for_all());
-  scene.ledger.on_broken(scene.now, {{kGuilty, kOtherCaller}, 4, false, false});
-  scene.ledger.on_engine_ended(scene.now, 4);
-  cr_assert(other().held_for.has_value());
-  cr_assert(scene.ledger.take_verdicts(scene.now).front().for_all());
-  cr_assert(scene.ledger.standing(scene.now, {kGuilty, 72}).held_for.has_value());
+  for (const EngineKey engine : {1, 2, 3}) scene.crash_engine(engine, {kCulprit});
+  const auto other = [&] { return scene.ledger.status(scene.now, {kCulprit, kOtherCaller}); };
+  cr_assert(scene.is_quarantined(kCulprit));
+  cr_assert_not(other().quarantine_left);
+  cr_assert_not(scene.ledger.take_new_quarantines(scene.now).front().applies_to_all_callers());
+  scene.ledger.on_interrupted(scene.now, {{kCulprit, kOtherCaller}, 4, false, false});
+  scene.ledger.on_engine_crashed(scene.now, 4);
+  cr_assert(other().quarantine_left.has_value());
+  cr_assert(scene.ledger.take_new_quarantines(scene.now).front().applies_to_all_callers());
+  cr_assert(scene.ledger.status(scene.now, {kCulprit, 72}).quarantine_left.has_value());
 }
 
-Test(crash_ledger, holds_back_at_the_third_end_what_comes_from_several_callers) {
+Test(crash_ledger, quarantines_all_callers_if_several_crash_engines) {
   Scene scene;
   for (const EngineKey engine : {1, 2, 3}) {
-    scene.ledger.on_broken(scene.now, {{kGuilty, kCaller + engine}, engine, false, false});
-    scene.ledger.on_engine_ended(scene.now, engine);
+    scene.ledger.on_interrupted(scene.now, {{kCulprit, kCaller + engine}, engine, false, false});
+    scene.ledger.on_engine_crashed(scene.now, engine);
   }
-  cr_assert(scene.ledger.standing(scene.now, {kGuilty, 99}).held_for.has_value());
+  cr_assert(scene.ledger.status(scene.now, {kCulprit, 99}).quarantine_left.has_value());
 }
 
-Test(crash_ledger, keeps_suspects_that_are_under_way_apart) {
+Test(crash_ledger, reports_engines_that_run_other_suspects) {
   Scene scene;
-  scene.end_engine(1, {kGuilty, kNeighbour});
-  scene.ledger.begin_trial(scene.now, kGuilty, 2);
-  cr_assert_eq(scene.ledger.engines_on_trial(scene.now, kNeighbour).count(2), 1U);
-  cr_assert(scene.ledger.engines_on_trial(scene.now, kGuilty).empty(), "not from itself");
-  cr_assert(standing(scene.ledger, scene.now, kGuilty).under_way);
-  scene.end_engine(2, {kGuilty});
-  cr_assert(scene.ledger.engines_on_trial(scene.now, kNeighbour).empty());
+  scene.crash_engine(1, {kCulprit, kBystander});
+  scene.ledger.begin_trial(scene.now, kCulprit, 2);
+  cr_assert_eq(scene.ledger.trial_engines(scene.now, kBystander).count(2), 1U);
+  cr_assert(scene.ledger.trial_engines(scene.now, kCulprit).empty(), "not from itself");
+  cr_assert(status(scene.ledger, scene.now, kCulprit).in_flight);
+  scene.crash_engine(2, {kCulprit});
+  cr_assert(scene.ledger.trial_engines(scene.now, kBystander).empty());
 }
 
-Test(crash_ledger, forgets_first_whom_least_speaks_against) {
+Test(crash_ledger, evicts_requests_with_the_fewest_crashes_first) {
   CrashLedgerSettings settings;
-  settings.most_suspects = 20;
+  settings.max_suspects = 20;
   CrashLedger ledger(settings);
   const MonotonicTime now{1000s};
   for (const EngineKey engine : {1, 2, 3}) {
-    ledger.on_broken(now, broken(kGuilty, engine));
-    ledger.on_engine_ended(now, engine);
+    ledger.on_interrupted(now, interruption(kCulprit, engine));
+    ledger.on_engine_crashed(now, engine);
   }
   for (std::uint64_t i = 0; i < 100; ++i) {
-    ledger.on_broken(now + std::chrono::seconds(i), broken(RequestIdentity{100, i}, 9));
+    ledger.on_interrupted(now + std::chrono::seconds(i), interruption(RequestIdentity{100, i}, 9));
   }
-  cr_assert(standing(ledger, now, kGuilty).held_for.has_value());
-  cr_assert_not(standing(ledger, now, RequestIdentity{100, 0}).suspect(),
+  cr_assert(status(ledger, now, kCulprit).quarantine_left.has_value());
+  cr_assert_not(status(ledger, now, RequestIdentity{100, 0}).is_suspect(),
                 "the oldest of the others");
-  cr_assert(standing(ledger, now, RequestIdentity{100, 99}).suspect());
+  cr_assert(status(ledger, now, RequestIdentity{100, 99}).is_suspect());
 }
 
-Test(crash_ledger, comes_to_the_same_whatever_the_order_of_the_news) {
+Test(crash_ledger, result_is_independent_of_the_order_of_reports) {
   // Nodes hear the same in different orders; where one request alone is to blame, all hold it back.
   SHUNTBANK_PROPERTY("the guilty one is held back", [] {
     CrashLedger ledger;
     const MonotonicTime now{1000s};
-    auto news = *rc::gen::container<std::vector<int>>(30, rc::gen::inRange(0, 9));
-    for (int piece = 0; piece < 9; ++piece) news.push_back(piece);
-    for (const int piece : news) {
-      const auto engine = static_cast<EngineKey>(piece % 3);
-      if (piece < 3) ledger.on_broken(now, broken(kGuilty, engine));
-      if (piece >= 3 && piece < 6) ledger.on_engine_ended(now, engine);
-      if (piece >= 6) ledger.on_broken(now, broken(RequestIdentity{50, engine}, engine));
+    auto events = *rc::gen::container<std::vector<int>>(30, rc::gen::inRange(0, 9));
+    for (int event = 0; event < 9; ++event) events.push_back(event);
+    for (const int event : events) {
+      const auto engine = static_cast<EngineKey>(event % 3);
+      if (event < 3) ledger.on_interrupted(now, interruption(kCulprit, engine));
+      if (event >= 3 && event < 6) ledger.on_engine_crashed(now, engine);
+      if (event >= 6) ledger.on_interrupted(now, interruption(RequestIdentity{50, engine}, engine));
     }
-    RC_ASSERT(standing(ledger, now, kGuilty).held_for.has_value());
-    RC_ASSERT(ledger.held(now).size() == 1U);
+    RC_ASSERT(status(ledger, now, kCulprit).quarantine_left.has_value());
+    RC_ASSERT(ledger.quarantined(now).size() == 1U);
   });
 }
--- a/tests/core/relay/dispatch_choice_test.cpp
+++ b/tests/core/relay/dispatch_choice_test.cpp
@@ -66,7 +66,7 @@
   Choice choice;
   choice.query.budget = 0.9;
   cr_assert(choice.choose()->read_first, "an engine that refuses nothing needs no budget");
-  choice.engines.on_health(kNow, EngineId("reader"), AttemptHealth::kBusy);
+  choice.engines.on_attempt_health(kNow, EngineId("reader"), AttemptHealth::kBusy);
   cr_assert_not(choice.choose()->read_first);
   choice.query.budget = 1;
   cr_assert(choice.choose()->read_first);
@@ -83,7 +83,7 @@
 
 Test(dispatch_choice, reads_at_the_decode_engine_when_the_readers_queue_is_long) {
   Choice choice;
-  choice.engines.on_sent(EngineId("reader"), {500000, false});
+  choice.engines.on_attempt_sent(EngineId("reader"), {500000, false});
   cr_assert_not(choice.choose()->read_first);
 }
 
@@ -99,7 +99,7 @@
   choice.prompt = {{{1, 200}}, 200, 80};
   choice.query.gap_target = std::chrono::milliseconds(150);
   cr_assert_not(choice.choose()->read_first);
-  choice.engines.on_event_gap(kNow, EngineId("maker"), std::chrono::milliseconds(140));
+  choice.engines.on_event_interval(kNow, EngineId("maker"), std::chrono::milliseconds(140));
   cr_assert(choice.choose()->read_first);
 }
 
@@ -107,8 +107,8 @@
   Choice choice;
   choice.prompt = {{{1, 200}}, 200, 80};
   choice.query.gap_target = std::chrono::milliseconds(150);
-  choice.engines.on_event_gap(kNow - std::chrono::seconds(2), EngineId("maker"),
-                              std::chrono::milliseconds(140));
+  choice.engines.on_event_interval(kNow - std::chrono::seconds(2), EngineId("maker"),
+                                   std::chrono::milliseconds(140));
   cr_assert_not(choice.choose()->read_first);
 }
 
@@ -117,16 +117,16 @@
   Choice choice;
   choice.query.time_to_objective = std::chrono::milliseconds(600);
   cr_assert_not(choice.choose()->deferred);
-  choice.engines.on_sent(EngineId("reader"), {500000, false});
-  choice.engines.on_sent(EngineId("maker"), {500000, false});
+  choice.engines.on_attempt_sent(EngineId("reader"), {500000, false});
+  choice.engines.on_attempt_sent(EngineId("maker"), {500000, false});
   cr_assert(choice.choose()->deferred);
 }
 
 Test(dispatch_choice, passes_what_is_deferred) {
   Choice choice;
   choice.query.time_to_objective = std::chrono::milliseconds(600);
-  choice.engines.on_sent(EngineId("maker"), {500000, false});
-  choice.engines.on_sent(EngineId("reader"), {500000, true});
+  choice.engines.on_attempt_sent(EngineId("maker"), {500000, false});
+  choice.engines.on_attempt_sent(EngineId("reader"), {500000, true});
   choice.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 400000}}});
   cr_assert_not(choice.choose()->deferred);
   choice.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 0}}});
@@ -136,11 +136,11 @@
 Test(dispatch_choice, counts_deferred_work_as_read_or_dropped) {
   Choice choice;
   const EngineId reader("reader");
-  choice.engines.on_sent(reader, {5000, true});
-  choice.engines.on_sent(reader, {3000, false});
-  choice.engines.on_read(reader, {5000, true});
+  choice.engines.on_attempt_sent(reader, {5000, true});
+  choice.engines.on_attempt_sent(reader, {3000, false});
+  choice.engines.on_prompt_read(reader, {5000, true});
   cr_assert_eq(choice.engines.find(reader)->deferred_tokens, 0);
-  cr_assert_eq(choice.engines.find(reader)->unread_tokens, 3000);
+  cr_assert_eq(choice.engines.find(reader)->prefill_tokens, 3000);
 }
 
 // Seen: by reading. A request that would be just too late is chosen for again, behind all that can
@@ -153,7 +153,7 @@
   const EngineId maker("maker");
   choice.engines.on_limit(maker, {2.0, kNow});
   choice.engines.on_next_permit(maker, kNow + std::chrono::milliseconds(100));
-  choice.engines.on_sent(maker, {50000, true});
+  choice.engines.on_attempt_sent(maker, {50000, true});
   const double expected_ms = choice.choose()->expected_ms;
   choice.query.time_to_objective = from_seconds(expected_ms / 0.95 / 1000);
   choice.query.placement.most_expected_ms = to_ms(choice.query.time_to_objective);
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -71,10 +71,11 @@
 Test(placement, uses_an_avoided_engine_only_when_no_other_is_left) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
-  fleet.engines.on_health(kNow, home, AttemptHealth::kUnreachable);
+  fleet.engines.on_attempt_health(kNow, home, AttemptHealth::kUnreachable);
   cr_assert_neq(fleet.choose()->engine, home);
   for (int i = 0; i < 5; ++i) {
-    fleet.engines.on_health(kNow, EngineId("p" + std::to_string(i)), AttemptHealth::kUnreachable);
+    fleet.engines.on_attempt_health(kNow, EngineId("p" + std::to_string(i)),
+                                    AttemptHealth::kUnreachable);
   }
   cr_assert(fleet.choose().has_value());
 }
@@ -85,7 +86,7 @@
   fleet.engines.find(home)->cache.on_read(fleet.prompt.parts, 1000000, kNow);
   cr_assert_eq(fleet.choose()->engine, home);
   cr_assert_eq(fleet.choose()->unread_tokens, 0);
-  fleet.engines.on_sent(home, {60000, false});
+  fleet.engines.on_attempt_sent(home, {60000, false});
   const auto spilled = fleet.choose();
   cr_assert_neq(spilled->engine, home);
   cr_assert_eq(*spilled->fetch_from, home);
@@ -96,14 +97,14 @@
   // A fixed bonus in milliseconds, right for slow engines, let queues stand at quick ones.
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
-  const double shared_ms = 12000 * fleet.engines.model_of(fleet.service.name).reading().token_ms();
+  const double shared_ms = 12000 * fleet.engines.model_of(fleet.service.name).prefill().token_ms();
   const auto tokens_of = [&](double ms) {
     return static_cast<std::uint64_t>(
-        ms / fleet.engines.model_of(fleet.service.name).reading().token_ms());
+        ms / fleet.engines.model_of(fleet.service.name).prefill().token_ms());
   };
-  fleet.engines.on_sent(home, {tokens_of(shared_ms), false});
+  fleet.engines.on_attempt_sent(home, {tokens_of(shared_ms), false});
   cr_assert_eq(fleet.choose()->engine, home);
-  fleet.engines.on_sent(home, {tokens_of(2 * shared_ms), false});
+  fleet.engines.on_attempt_sent(home, {tokens_of(2 * shared_ms), false});
   cr_assert_neq(fleet.choose()->engine, home);
 }
 
@@ -112,7 +113,7 @@
   const EngineId home = fleet.choose()->engine;
   fleet.engines.on_peer_load(kNow, NodeId("n2"), {{home, {3, 90000}}});
   cr_assert_neq(fleet.choose()->engine, home);
-  fleet.engines.forget_silent_peers(kNow + 3s);
+  fleet.engines.expire_peer_load(kNow + 3s);
   cr_assert_eq(fleet.choose()->engine, home);
 }
 
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -177,12 +177,12 @@
 Test(platform_dialect, reads_what_an_engine_says_of_itself) {
   using namespace std::chrono_literals;
   const PlatformDialect dialect;
-  cr_assert(dialect.notice(200, {{"server-leaving", "1"}}).notice.leaving);
-  cr_assert_eq(dialect.notice(503, {{"Retry-After", "3"}}).notice.rest, Duration(3s));
-  cr_assert_eq(dialect.notice(429, {{"Retry-After", "0.25"}}).notice.rest, Duration(250ms));
+  cr_assert(dialect.notice(200, {{"server-leaving", "1"}}).notice.draining);
+  cr_assert_eq(dialect.notice(503, {{"Retry-After", "3"}}).notice.cooldown, Duration(3s));
+  cr_assert_eq(dialect.notice(429, {{"Retry-After", "0.25"}}).notice.cooldown, Duration(250ms));
   const auto both = dialect.notice(503, {{"Server-Leaving", "1"}, {"Retry-After", "2"}});
-  cr_assert(both.notice.leaving);
-  cr_assert_eq(both.notice.rest, Duration(2s));
+  cr_assert(both.notice.draining);
+  cr_assert_eq(both.notice.cooldown, Duration(2s));
   cr_assert_eq(dialect.notice(200, {{"Retry-After", "3"}}).notice, relay::EngineNotice(),
                "only who is turned away is asked to wait");
 }
@@ -190,21 +190,21 @@
 Test(platform_dialect, takes_the_longest_of_two_waits_and_says_what_it_cannot_read) {
   using namespace std::chrono_literals;
   const PlatformDialect dialect;
-  cr_assert_eq(dialect.notice(503, {{"Retry-After", "1"}, {"Retry-After", "4"}}).notice.rest,
+  cr_assert_eq(dialect.notice(503, {{"Retry-After", "1"}, {"Retry-After", "4"}}).notice.cooldown,
                Duration(4s));
   for (const char* value : {"-1", "soon", "", "1e3", "nan", "inf", "2, 3", "0x10", "3s",
                             "Wed, 21 Oct 2026 07:28:00 GMT"}) {
     const auto read = dialect.notice(503, {{"Retry-After", value}});
-    cr_assert_not(read.notice.rest.has_value(), "%s", value);
+    cr_assert_not(read.notice.cooldown.has_value(), "%s", value);
     cr_assert_eq(read.unreadable.size(), 1, "%s", value);
   }
-  const auto huge = dialect.notice(503, {{"Retry-After", std::string(300, '9')}}).notice.rest;
+  const auto huge = dialect.notice(503, {{"Retry-After", std::string(300, '9')}}).notice.cooldown;
   cr_assert(!huge || *huge > 24h, "not a short wait, nor a negative one");
   cr_assert_eq(dialect.notice(200, {{"Server-Leaving", "0"}}).notice, relay::EngineNotice());
   cr_assert(dialect.notice(200, {{"Server-Leaving", "0"}}).unreadable.empty());
   for (const char* value : {"yes", "", "11"}) {
     const auto read = dialect.notice(200, {{"Server-Leaving", value}});
-    cr_assert_not(read.notice.leaving);
+    cr_assert_not(read.notice.draining);
     cr_assert_eq(read.unreadable.size(), 1);
   }
 }
@@ -221,7 +221,7 @@
   cr_assert_eq(limit(std::string(200, '9').c_str()).has_value(), true, "as good as none");
   const auto twice = dialect.notice(503, {{"Server-Limit", "4"}, {"Server-Limit", "2"}});
   cr_assert_eq(twice.notice.limit, 2.0, "the lower one holds");
-  cr_assert_not(dialect.notice(200, {}).notice.names_limit);
+  cr_assert_not(dialect.notice(200, {}).notice.has_limit);
 }
 
 Test(platform_dialect, names_a_limit_that_it_cannot_read_and_takes_it_for_no_end) {
@@ -230,7 +230,7 @@
        {"", "-1", "-0", "+1", "1e3", "nan", "inf", "1,3", "1.3, 2", "two", "0x10", " 1", "1 "}) {
     const auto read = dialect.notice(200, {{"Server-Limit", value}});
     cr_assert_not(read.notice.limit.has_value(), "%s", value);
-    cr_assert(read.notice.names_limit, "%s", value);
+    cr_assert(read.notice.has_limit, "%s", value);
     cr_assert_eq(read.unreadable.size(), 1, "%s", value);
   }
   const auto mixed = dialect.notice(200, {{"Server-Limit", "soon"}, {"Server-Limit", "2"}});
--- a/tests/protocol/earlier_messages_test.cpp
+++ b/tests/protocol/earlier_messages_test.cpp
@@ -38,7 +38,7 @@
 
 relay::CrashReport crash() {
   relay::CrashReport report;
-  report.news = relay::CrashNews::kLives;
+  report.event = relay::CrashEvent::kAlive;
   report.engine = 5;
   report.age_ms = 30;
   return report;
@@ -53,7 +53,7 @@
   message.reads = {{EngineId("e1"), {{11, 900}, {12, 80}}}};
   message.troubles = {
       {EngineId("e1"), relay::EngineStage::kDecode, relay::TroubleKind::kMisdirected},
-      {EngineId("e2"), relay::EngineStage::kNone, relay::TroubleKind::kLeaving}};
+      {EngineId("e2"), relay::EngineStage::kNone, relay::TroubleKind::kDraining}};
   message.crashes = {crash()};
   message.seen = {21, 22};
   message.store_age_ms = 400;
--- a/tests/protocol/load_digest_test.cpp
+++ b/tests/protocol/load_digest_test.cpp
@@ -28,7 +28,7 @@
 /// What the parts of a digest say together.
 struct Joined {
   relay::LoadByKey load;
-  relay::EngineNews news;
+  relay::EngineUpdates news;
   std::size_t covered_twice = 0;
   std::size_t largest = 0;
 };
@@ -62,9 +62,9 @@
                                   {{*rc::gen::arbitrary<std::uint64_t>(), 800}, {2, 30}}});
     }
     whole.news.troubles = {{3, relay::EngineStage::kPrefill, relay::TroubleKind::kMisdirected},
-                           {4, relay::EngineStage::kNone, relay::TroubleKind::kLeaving}};
+                           {4, relay::EngineStage::kNone, relay::TroubleKind::kDraining}};
     for (int i = *rc::gen::inRange(0, 60); i > 0; --i) {
-      whole.news.crashes.push_back({relay::CrashNews::kEnded,
+      whole.news.crashes.push_back({relay::CrashEvent::kCrashed,
                                     {~0ULL, *rc::gen::arbitrary<std::uint64_t>()},
                                     ~0U,
                                     ~0U,
--- a/tests/protocol/load_message_test.cpp
+++ b/tests/protocol/load_message_test.cpp
@@ -15,9 +15,9 @@
   message.load[EngineId("e1")] = {3, 4500, 700};
   message.reads = {{EngineId("e1"), {{0xabcdef0123456789, 800}, {2, 30}}}};
   message.troubles = {{EngineId("e2"), EngineStage::kPrefill, relay::TroubleKind::kMisdirected},
-                      {EngineId("e3"), EngineStage::kNone, relay::TroubleKind::kLeaving},
+                      {EngineId("e3"), EngineStage::kNone, relay::TroubleKind::kDraining},
                       {EngineId("e4"), EngineStage::kDecode, relay::TroubleKind::kUnusable}};
-  message.crashes = {{relay::CrashNews::kEnded, {~0ULL, 5}, 77, 78, 1500}};
+  message.crashes = {{relay::CrashEvent::kCrashed, {~0ULL, 5}, 77, 78, 1500}};
   message.seen = {41, 42};
   message.to_collector = true;
   message.wants_view = true;
--- a/tests/relay/engine_notice_test.cpp
+++ b/tests/relay/engine_notice_test.cpp
@@ -57,7 +57,7 @@
   cr_assert_eq(engine_of(site, 1), "d1");
   site.add_engine("d2", "model", EngineStage::kDecode);
   // By load alone all would go to the first.
-  for (int i = 0; i < 6; ++i) site.node->engines().on_sent(EngineId("d2"), {20000, false});
+  for (int i = 0; i < 6; ++i) site.node->engines().on_attempt_sent(EngineId("d2"), {20000, false});
   // The head of a stream comes long before its end.
   site.http.begin(1, 200, sealed_and_leaving());
   for (int i = 0; i < 12; ++i) {
@@ -94,7 +94,7 @@
   site.http.answer(2, 200, RelayFixture::sealed(), "whole");
   cr_assert_eq(waiting->status, 200);
   site.runtime.advance(3s);
-  cr_assert_lt(site.node->engines().find(EngineId("e1"))->failure_share, 0.01,
+  cr_assert_lt(site.node->engines().find(EngineId("e1"))->failure_rate, 0.01,
                "nothing was wrong with it");
 }
 
@@ -135,9 +135,9 @@
   cr_assert_eq(seen->status, 503);
   cr_assert_eq(seen->headers.get("Retry-After"), "1.60");
   // One of them leaves meanwhile, by the word of another node.
-  site.node->engines().on_leaving(EngineId("e2"));
+  site.node->engines().on_draining(EngineId("e2"));
   cr_assert_eq(site.request("/once/c")->headers.get("Retry-After"), "2.60");
-  site.node->engines().on_leaving(EngineId("e1"));
+  site.node->engines().on_draining(EngineId("e1"));
   const auto none = site.request("/once/d");
   cr_assert_eq(none->status, 503);
   cr_assert_eq(none->headers.get("Retry-After"), "0.25", "others may start at any time");
@@ -194,7 +194,7 @@
   site.add_engine("d", "model", EngineStage::kDecode);
   site.request("/stream/a", {{"tokens", "20000"}});
   cr_assert_eq(engine_of(site, 0), "reader");
-  site.node->engines().on_rest(site.runtime.now(), EngineId("d"), 100ms);
+  site.node->engines().on_cooldown(site.runtime.now(), EngineId("d"), 100ms);
   site.http.answer(0, 200, {{"id", "r1"}}, "h1");
   cr_assert_eq(site.http.count(), 1);
   site.runtime.advance(100ms);
@@ -235,7 +235,7 @@
   static constexpr std::size_t kEngines = 6;
 
   std::string start(std::size_t engine) const {
-    return relay::start_id("e" + std::to_string(engine), this->starts.at(engine)).value();
+    return relay::incarnation_id("e" + std::to_string(engine), this->starts.at(engine)).value();
   }
 
   /// The store tells of an engine, which it says is ready.
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -53,8 +53,9 @@
   for (std::size_t i = 0; i < 60; ++i) fleet.send_one(i);
   fleet.runtime.advance(3s);
   for (std::size_t i = 0; i < 60; ++i) {
-    cr_assert_eq(fleet.engine(i).peers->in_flight, 59, "%u", fleet.engine(i).peers->in_flight);
-    cr_assert_eq(fleet.engine(i).peers->unread_tokens, 590);
+    cr_assert_eq(fleet.engine(i).peer_load->in_flight, 59, "%u",
+                 fleet.engine(i).peer_load->in_flight);
+    cr_assert_eq(fleet.engine(i).peer_load->unread_tokens, 590);
   }
 }
 
@@ -64,7 +65,7 @@
   fleet.send_one(7);
   fleet.runtime.advance(230ms);
   for (std::size_t i = 0; i < 60; ++i) {
-    cr_assert_eq(fleet.engine(i).peers->in_flight, i == 7 ? 0 : 1, "node %zu", i);
+    cr_assert_eq(fleet.engine(i).peer_load->in_flight, i == 7 ? 0 : 1, "node %zu", i);
   }
 }
 
@@ -80,7 +81,7 @@
   fleet.runtime.advance(300ms);
   for (std::size_t i = 0; i < 60; ++i) {
     const relay::EngineView& engine = fleet.engine(i);
-    cr_assert_gt(engine.avoided_until, fleet.runtime.now() - 300ms, "node %zu", i);
+    cr_assert_gt(engine.backoff_until, fleet.runtime.now() - 300ms, "node %zu", i);
     cr_assert_eq(engine.cache.kept().size(), i == 3 ? 2 : 1, "node %zu", i);
   }
 }
@@ -92,7 +93,7 @@
     relay::EngineListener& listener = fleet.sites[1]->node->listener();
     listener.on_head(EngineId("p1"), 503, {{"rest-seconds", "3"}});
     fleet.runtime.advance(300ms);
-    cr_assert(fleet.engine(0).takes_requests(fleet.runtime.now()), "its wait is for one node");
+    cr_assert(fleet.engine(0).accepts_requests(fleet.runtime.now()), "its wait is for one node");
     listener.on_head(EngineId("p1"), 200, {{"leaving", "1"}});
     fleet.runtime.advance(300ms);
     for (std::size_t i = 0; i < nodes; ++i) {
@@ -113,8 +114,8 @@
   fleet.runtime.advance(400ms);
   for (std::size_t i = 0; i < 60; ++i) {
     if (i == alive || dead.count(i) > 0) continue;
-    cr_assert(fleet.engine(i).peers.has_value(), "node %zu", i);
-    cr_assert_eq(fleet.engine(i).peers->in_flight, 1, "node %zu", i);
+    cr_assert(fleet.engine(i).peer_load.has_value(), "node %zu", i);
+    cr_assert_eq(fleet.engine(i).peer_load->in_flight, 1, "node %zu", i);
   }
 }
 
@@ -158,7 +159,7 @@
     fleet.runtime.advance(3s);
     const int before = fleet.transports[0]->sent;
     for (int change = 0; change < 1000; ++change) {
-      fleet.sites[0]->node->engines().on_sent(EngineId("p1"), {10, false});
+      fleet.sites[0]->node->engines().on_attempt_sent(EngineId("p1"), {10, false});
       fleet.sites[0]->node->note_load_changed();
       fleet.runtime.advance(1ms);
     }
@@ -202,7 +203,7 @@
   fleet.sites[0]->node->note_trouble(
       {EngineId("p1"), EngineStage::kPrefill, relay::TroubleKind::kMisdirected});
   fleet.runtime.advance(100ms);
-  cr_assert_gt(fleet.engine(1).avoided_until, fleet.runtime.now());
+  cr_assert_gt(fleet.engine(1).backoff_until, fleet.runtime.now());
   cr_assert(heard == (relay::CatalogRevisions{5, 6}));
 }
 
--- a/tests/relay/quarantine_test.cpp
+++ b/tests/relay/quarantine_test.cpp
@@ -7,7 +7,7 @@
 using namespace shuntbank;
 using namespace shuntbank::testing;
 using namespace std::chrono_literals;
-using relay::CrashNews;
+using relay::CrashEvent;
 using relay::RequestIdentity;
 
 namespace {
@@ -59,7 +59,7 @@
   Scene scene;
   for (const char* engine : {"a", "b", "c"}) scene.break_off(engine);
   scene.answer_questions(true);
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
+  cr_assert_not(scene.quarantine().standing(kTried).is_suspect());
   scene.site.runtime.advance(1s);
   cr_assert_eq(scene.site.http.count(), 3U, "each engine was asked once");
 }
@@ -67,9 +67,9 @@
 Test(quarantine, holds_back_whose_engines_have_ended) {
   Scene scene;
   for (const char* engine : {"a", "b", "c"}) scene.break_off(engine);
-  cr_assert_not(scene.quarantine().standing(kTried).held_for, "not before it is known");
+  cr_assert_not(scene.quarantine().standing(kTried).quarantine_left, "not before it is known");
   scene.answer_questions(false);
-  cr_assert(scene.quarantine().standing(kTried).held_for.has_value());
+  cr_assert(scene.quarantine().standing(kTried).quarantine_left.has_value());
 }
 
 Test(quarantine, does_not_count_engines_that_had_said_that_they_leave) {
@@ -78,7 +78,7 @@
     scene.site.add_engine(engine, "plain", relay::EngineStage::kNone, true);
     scene.break_off(engine);
   }
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
+  cr_assert_not(scene.quarantine().standing(kTried).is_suspect());
 }
 
 Test(quarantine, does_not_blame_what_was_sent_after_the_engine_had_ended) {
@@ -87,20 +87,20 @@
   for (const char* engine : {"a", "b", "c"}) scene.quarantine().on_engine_ended(EngineId(engine));
   scene.site.runtime.advance(1ms);
   for (const char* engine : {"a", "b", "c"}) scene.break_off(engine);
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
+  cr_assert_not(scene.quarantine().standing(kTried).is_suspect());
 }
 
 Test(quarantine, learns_of_an_end_from_the_list_and_from_who_has_the_address) {
   Scene scene;
   for (const char* engine : {"a", "b"}) scene.break_off(engine);
   scene.site.node->remove_engine("a");
-  cr_assert_eq(scene.quarantine().standing(kTried).ended, 1U);
+  cr_assert_eq(scene.quarantine().standing(kTried).crashes, 1U);
   relay::EngineRecord next;
   next.id = EngineId("b2");
   next.service = ServiceName("plain");
   next.address = "b:80";
   scene.site.node->set_engine(next);
-  cr_assert_eq(scene.quarantine().standing(kTried).ended, 2U);
+  cr_assert_eq(scene.quarantine().standing(kTried).crashes, 2U);
 }
 
 Test(quarantine, believes_an_engine_that_is_listed_again) {
@@ -110,7 +110,7 @@
   scene.site.node->remove_engine("a");
   scene.site.runtime.advance(1s);
   scene.site.add_engine("a", "plain");
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
+  cr_assert_not(scene.quarantine().standing(kTried).is_suspect());
 }
 
 Test(quarantine, tells_the_others_a_few_times_when_a_try_has_failed) {
@@ -120,7 +120,7 @@
   int told = 0;
   for (int i = 0; i < 20; ++i) {
     for (const relay::CrashReport& report : scene.reports()) {
-      cr_assert(report.news == CrashNews::kBroken);
+      cr_assert(report.event == CrashEvent::kInterrupted);
       cr_assert(report.request == kRequest);
       ++told;
     }
@@ -137,7 +137,7 @@
   scene.site.node->remove_engine("a");
   const auto reports = scene.reports();
   cr_assert_eq(reports.size(), 1U);
-  cr_assert(reports.front().news == CrashNews::kEnded);
+  cr_assert(reports.front().event == CrashEvent::kCrashed);
 }
 
 Test(quarantine, tells_that_a_request_ran_to_its_end_only_where_others_suspect_it) {
@@ -151,17 +151,17 @@
   scene.reports();
   scene.quarantine().on_answered(kRequest);
   const auto reports = scene.reports();
-  cr_assert(reports.back().news == CrashNews::kCleared);
+  cr_assert(reports.back().event == CrashEvent::kCleared);
 }
 
 Test(quarantine, tells_whoever_it_heard_it_from_that_a_request_ran_to_its_end) {
   Scene scene;
-  scene.quarantine().learn({{CrashNews::kEnded, kRequest, 1, 5, 100}});
+  scene.quarantine().learn({{CrashEvent::kCrashed, kRequest, 1, 5, 100}});
   cr_assert(scene.reports().empty(), "those who have seen it tell");
   scene.quarantine().on_answered(kRequest);
   const auto reports = scene.reports();
   cr_assert_eq(reports.size(), 1U);
-  cr_assert(reports.front().news == CrashNews::kCleared);
+  cr_assert(reports.front().event == CrashEvent::kCleared);
 }
 
 Test(quarantine, lets_go_what_an_operator_speaks_for) {
--- a/tests/relay/relay_session_test.cpp
+++ b/tests/relay/relay_session_test.cpp
@@ -333,7 +333,7 @@
   site.request("/stream/a", {{"tokens", "20000"}});
   cr_assert_eq(site.http.at(0).request.headers.get("urgency"), "0");
   for (const char* id : {"p", "d"}) {
-    site.node->engines().on_sent(EngineId(id), {1000000, false});
+    site.node->engines().on_attempt_sent(EngineId(id), {1000000, false});
   }
   site.request("/stream/b", {{"tokens", "20000"}});
   cr_assert_eq(site.http.at(1).request.headers.get("urgency"), "9");
--- a/tests/relay/role_coordinator_test.cpp
+++ b/tests/relay/role_coordinator_test.cpp
@@ -88,7 +88,7 @@
   const std::string engine = site.http.at(0).request.url.substr(7, 2);
   site.http.answer(0, 200, {{"leaving", "1"}}, "decode");
   cr_assert_eq(count_of(site, "/order"), 0);
-  cr_assert_not(site.node->engines().find(EngineId(engine))->takes_requests(site.runtime.now()));
+  cr_assert_not(site.node->engines().find(EngineId(engine))->accepts_requests(site.runtime.now()));
 }
 
 Test(role_coordinator, waits_before_its_first_order) {
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -135,12 +135,12 @@
 
 relay::ReadNotice TestDialect::notice(int status, const HttpHeaders& headers) const {
   relay::ReadNotice read;
-  read.notice.leaving = headers.count("leaving") > 0;
+  read.notice.draining = headers.count("leaving") > 0;
   const std::string rest(headers.get("rest-seconds"));
   const std::string limit(headers.get("limit"));
-  read.notice.names_limit = !limit.empty();
+  read.notice.has_limit = !limit.empty();
   if (!limit.empty()) read.notice.limit = std::stod(limit);
-  if (status == 503 && !rest.empty()) read.notice.rest = std::chrono::seconds(std::stoll(rest));
+  if (status == 503 && !rest.empty()) read.notice.cooldown = std::chrono::seconds(std::stoll(rest));
   return read;
 }
 
