--- a/src/core/relay/engine_directory.cpp
+++ b/src/core/relay/engine_directory.cpp
@@ -60,14 +60,14 @@
 }
 
 void EngineDirectory::record_incarnation(const EngineRecord& record) {
-  const LatestIncarnation start{record.id, record.started_unix_ms};
-  const auto [latest, added] = latest_incarnations_.try_emplace(record.own_name(), start);
+  const LatestIncarnation incarnation{record.id, record.started_unix_ms};
+  const auto [latest, added] = latest_incarnations_.try_emplace(record.own_name(), incarnation);
   if (added) {
     name_order_.push_back(record.own_name());
     return evict_oldest_names();
   }
   if (latest->second.id != record.id) remove(latest->second.id);
-  latest->second = start;
+  latest->second = incarnation;
 }
 
 /// Names of engines that are still present are kept, as they are looked up by name.
--- a/tests/core/relay/crash_ledger_test.cpp
+++ b/tests/core/relay/crash_ledger_test.cpp
@@ -31,9 +31,9 @@
   return ledger.status(now, {request, kCaller});
 }
 
-/// A ledger whose clock is moved by hand.
+/// A ledger with a manual clock.
 struct Scene {
-  /// An engine ends, and with it the requests that it has.
+  /// Crashes an engine that runs these requests.
   void crash_engine(EngineKey engine, const std::vector<RequestIdentity>& requests) {
     this->now += 100ms;
     for (const RequestIdentity& request : requests) {
@@ -60,15 +60,15 @@
 Test(crash_ledger, quarantines_a_request_after_exactly_three_crashes) {
   Scene scene;
   scene.crash_engine(1, {kCulprit});
-  cr_assert_not(scene.is_quarantined(kCulprit), "one may be chance");
+  cr_assert_not(scene.is_quarantined(kCulprit), "one crash may be coincidence");
   scene.crash_engine(2, {kCulprit});
   cr_assert_not(scene.is_quarantined(kCulprit));
   scene.crash_engine(3, {kCulprit});
   cr_assert(scene.is_quarantined(kCulprit));
   const auto quarantines = scene.ledger.take_new_quarantines(scene.now);
   cr_assert_eq(quarantines.size(), 1U);
-  cr_assert_eq(quarantines.front().crashed_engines.size(), 3U, "with what speaks against it");
-  cr_assert(scene.ledger.take_new_quarantines(scene.now).empty(), "each once");
+  cr_assert_eq(quarantines.front().crashed_engines.size(), 3U, "lists the crashed engines");
+  cr_assert(scene.ledger.take_new_quarantines(scene.now).empty(), "each is returned once");
 }
 
 Test(crash_ledger, counts_each_engine_once) {
@@ -82,9 +82,8 @@
   for (const EngineKey engine : {1, 2, 3, 4}) {
     scene.ledger.on_interrupted(scene.now, interruption(kOther, engine));
   }
-  cr_assert_eq(scene.ledger.take_liveness_checks(scene.now).size(), 4U,
-               "it is asked which have ended");
-  cr_assert(scene.ledger.take_liveness_checks(scene.now).empty(), "and not again at once");
+  cr_assert_eq(scene.ledger.take_liveness_checks(scene.now).size(), 4U, "all are checked");
+  cr_assert(scene.ledger.take_liveness_checks(scene.now).empty(), "not again within the interval");
   for (const EngineKey engine : {1, 2, 3, 4}) {
     scene.ledger.on_engine_answered(scene.now + 1ms, engine);
   }
@@ -92,7 +91,7 @@
 }
 
 Test(crash_ledger, ignores_a_repeated_report_that_an_answer_disproved) {
-  // News is told a few times.
+  // Reports are repeated.
   Scene scene;
   const InterruptedRequest report{{kOther, kCaller}, 1, false, true};
   scene.ledger.on_interrupted(scene.now, report);
@@ -148,11 +147,11 @@
   scene.crash_engine(3, {kCulprit});
   scene.crash_engine(4, {kBystander});
   cr_assert(scene.is_quarantined(kCulprit));
-  cr_assert_not(scene.is_quarantined(kBystander), "only one of its three ends is its own");
+  cr_assert_not(scene.is_quarantined(kBystander), "only one of its three crashes is unexplained");
 }
 
 Test(crash_ledger, quarantines_a_request_that_keeps_crashing_engines) {
-  // Both stood beside three ended engines, and the wrong one came first.
+  // Both ran at three crashed engines, and only one of them is quarantined at first.
   Scene scene;
   for (const EngineKey engine : {1, 2, 3}) scene.crash_engine(engine, {kCulprit, kBystander});
   cr_assert_neq(scene.is_quarantined(kCulprit), scene.is_quarantined(kBystander));
@@ -170,7 +169,7 @@
   cr_assert_not(scene.is_quarantined(kBystander));
   scene.ledger.on_interrupted(scene.now - 200ms, interruption(kBystander, 2));
   cr_assert_eq(status(scene.ledger, scene.now, kBystander).interruptions, 1U,
-               "late news is void as well");
+               "late reports are discarded as well");
 }
 
 Test(crash_ledger, quarantine_expires_and_returns_after_one_more_crash) {
@@ -180,7 +179,7 @@
   cr_assert(scene.is_quarantined(kCulprit));
   scene.ledger.extend_quarantine(scene.now, kCulprit);
   scene.advance(2s);
-  cr_assert(scene.is_quarantined(kCulprit), "it counts from the last try");
+  cr_assert(scene.is_quarantined(kCulprit), "counts from the last attempt");
   scene.advance(CrashLedgerSettings().quarantine_duration);
   cr_assert_not(scene.is_quarantined(kCulprit));
   scene.crash_engine(4, {kCulprit});
@@ -200,7 +199,7 @@
 }
 
 Test(crash_ledger, quarantines_a_single_caller_until_a_second_one_crashes_an_engine) {
-  // Nobody gets another's request refused by sending the same.
+  // Otherwise a caller could get another's request refused by sending a copy.
   Scene scene;
   for (const EngineKey engine : {1, 2, 3}) scene.crash_engine(engine, {kCulprit});
   const auto other = [&] { return scene.ledger.status(scene.now, {kCulprit, kOtherCaller}); };
@@ -228,7 +227,7 @@
   scene.crash_engine(1, {kCulprit, kBystander});
   scene.ledger.begin_trial(scene.now, kCulprit, 2);
   cr_assert_eq(scene.ledger.trial_engines(scene.now, kBystander).count(2), 1U);
-  cr_assert(scene.ledger.trial_engines(scene.now, kCulprit).empty(), "not from itself");
+  cr_assert(scene.ledger.trial_engines(scene.now, kCulprit).empty(), "its own engine is excluded");
   cr_assert(status(scene.ledger, scene.now, kCulprit).in_flight);
   scene.crash_engine(2, {kCulprit});
   cr_assert(scene.ledger.trial_engines(scene.now, kBystander).empty());
@@ -248,13 +247,13 @@
   }
   cr_assert(status(ledger, now, kCulprit).quarantine_left.has_value());
   cr_assert_not(status(ledger, now, RequestIdentity{100, 0}).is_suspect(),
-                "the oldest of the others");
+                "the oldest is evicted first");
   cr_assert(status(ledger, now, RequestIdentity{100, 99}).is_suspect());
 }
 
 Test(crash_ledger, result_is_independent_of_the_order_of_reports) {
-  // Nodes hear the same in different orders; where one request alone is to blame, all hold it back.
-  SHUNTBANK_PROPERTY("the guilty one is held back", [] {
+  // Nodes receive reports in different orders but must quarantine the same request.
+  SHUNTBANK_PROPERTY("only the cause is quarantined", [] {
     CrashLedger ledger;
     const MonotonicTime now{1000s};
     auto events = *rc::gen::container<std::vector<int>>(30, rc::gen::inRange(0, 9));
--- a/tests/core/relay/engine_directory_test.cpp
+++ b/tests/core/relay/engine_directory_test.cpp
@@ -30,14 +30,14 @@
 }  // namespace
 
 Test(engine_directory, backs_off_a_misdirected_engine_until_its_record_changes) {
-  // Engines that had started anew while the store was down drew 1,703 attempts in five seconds,
-  // since they were idle, and used up the retry budget of all nodes.
+  // Idle engines that restarted during a store outage would otherwise use up the retry budget.
   EngineDirectory engines;
   engines.upsert(record("e"));
   engines.on_attempt_health(kNow, EngineId("e"), AttemptHealth::kMisdirected);
   cr_assert_gt(view(engines, "e").backoff_until, kNow + 3s);
   engines.upsert(record("e"));
-  cr_assert_gt(view(engines, "e").backoff_until, kNow + 3s, "the same record tells nothing new");
+  cr_assert_gt(view(engines, "e").backoff_until, kNow + 3s,
+               "an unchanged record does not end the backoff");
   engines.upsert(record("e", EngineStage::kPrefill));
   cr_assert_leq(view(engines, "e").backoff_until, kNow);
 }
@@ -75,7 +75,7 @@
 }
 
 Test(engine_directory, backoff_grows_with_each_refusal) {
-  // Three engines that refused at once looked idle and drew 1,800 attempts in eight seconds.
+  // Engines that refuse at once look idle and would attract every attempt.
   EngineDirectory engines;
   engines.upsert(record("e"));
   MonotonicTime now = kNow;
@@ -104,7 +104,7 @@
   cr_assert_eq(view(engines, "a").peer_load->in_flight, 1);
   cr_assert_eq(view(engines, "b").peer_load->in_flight, 5);
   engines.expire_peer_load(kNow + 4s);
-  cr_assert_eq(view(engines, "a").peer_load->in_flight, 0, "n2 has been silent");
+  cr_assert_eq(view(engines, "a").peer_load->in_flight, 0, "n2 has timed out");
   cr_assert_eq(view(engines, "b").peer_load->in_flight, 1);
   engines.expire_peer_load(kNow + 10s);
   cr_assert_not(view(engines, "a").peer_load.has_value());
@@ -132,9 +132,11 @@
   cr_assert(view(engines, "b").peer_load == PeerLoad{});
   engines.expire_peer_load(kNow + 1s);
   engines.on_peer_load(kNow + 1s, NodeId("n1"), {{EngineId("a"), {9, 9000}}});
-  cr_assert_eq(view(engines, "a").peer_load->in_flight, 3, "a fresh sum stands for single nodes");
+  cr_assert_eq(view(engines, "a").peer_load->in_flight, 3,
+               "a fresh sum takes precedence over peer reports");
   engines.expire_peer_load(kNow + 3s);
-  cr_assert_eq(view(engines, "a").peer_load->in_flight, 9, "then what single nodes have told");
+  cr_assert_eq(view(engines, "a").peer_load->in_flight, 9,
+               "peer reports apply once the sum has expired");
 }
 
 Test(engine_directory, applies_a_partial_sum_to_its_key_range_only) {
@@ -155,8 +157,7 @@
 }
 
 Test(engine_directory, jitter_spreads_the_retries_of_many_nodes) {
-  // Seen on a fleet of 295 nodes: all heard that an engine was dead within 200 ms, and a second
-  // later all sent to it at once, since nobody had work there.
+  // Without jitter all nodes would retry an unreachable engine at the same moment.
   const EngineTrouble unreachable_report{EngineId("a"), EngineStage::kDecode,
                                          relay::TroubleKind::kUnusable};
   int early = 0;
@@ -171,7 +172,7 @@
     if (until <= kNow + 1s + 200ms) ++early;
     if (until > kNow + 2s + 800ms) ++late;
   }
-  // A tenth of them each; what the first ones meet is known to all by then.
+  // About a tenth each: the first ones report their result before the others retry.
   cr_assert_gt(early, 10);
   cr_assert_lt(early, 60);
   cr_assert_gt(late, 10);
@@ -215,14 +216,14 @@
   const RouteTable table = single_service_table();
   const StagePlannerSettings settings = half_prefill_settings();
   StagePlanner planner(settings);
-  while (planner.next(kNow, engines, table)) continue;  // The first batch: two.
+  while (planner.next(kNow, engines, table)) continue;  // The first batch has two engines.
   for (int i = 0; i < 20; ++i) engines.upsert(record("n" + std::to_string(i)));
   engines.find(EngineId("n0"))->cache.on_read({{7, 100}}, 0, kNow);
   std::set<std::string> changed;
   while (const auto change = planner.next(kNow + 1s, engines, table)) {
     changed.insert(change->engine.value());
   }
-  cr_assert_eq(changed.size(), 18, "half of forty, with the two before");
+  cr_assert_eq(changed.size(), 18, "half of forty, less the first two");
   for (const std::string& id : changed) cr_assert_eq(id.front(), 'n');
   cr_assert_eq(changed.count("n0"), 0);
 }
@@ -254,7 +255,7 @@
   cr_assert_not_null(view);
   cr_assert_eq(view->in_flight, 0);
   cr_assert(view->cache.kept().empty());
-  // What was still under way at the first ends without a trace at the second.
+  // Attempts at the first incarnation do not affect the second.
   engines.on_attempt_ended(first.id);
   engines.on_prompt_read(first.id, {500, false});
   cr_assert_eq(engines.find(second.id)->in_flight, 0);
@@ -270,10 +271,10 @@
   cr_assert_null(engines.find(old.id));
   cr_assert_not(engines.find(later.id)->record.draining);
   engines.replace_all({old});
-  cr_assert_not_null(engines.find(later.id), "an old list names the engine");
+  cr_assert_not_null(engines.find(later.id), "an old list still contains the engine");
   engines.remove(later.id);
   engines.upsert(old);
-  cr_assert_eq(engines.size(), 0, "also after the later one is gone");
+  cr_assert_eq(engines.size(), 0, "also after the later one was removed");
 }
 
 Test(engine_directory, draining_does_not_carry_over_to_the_next_incarnation) {
--- a/tests/core/relay/engine_limit_test.cpp
+++ b/tests/core/relay/engine_limit_test.cpp
@@ -26,22 +26,23 @@
 Test(engine_limits, lower_at_once_and_raise_only_for_a_surely_later_observation) {
   EngineLimits limits;
   cr_assert(limits.observe(kEngine, limit(5, 0s)));
-  cr_assert(limits.observe(kEngine, limit(2, -400ms)), "of two answers the lower one holds");
+  cr_assert(limits.observe(kEngine, limit(2, -400ms)),
+            "the lower of two concurrent limits applies");
   cr_assert_not(limits.observe(kEngine, limit(5, 0ms)));
   cr_assert_eq(limits.limit(kEngine), 2);
   cr_assert(limits.observe(kEngine, limit(5, 100ms)));
-  cr_assert_not(limits.observe(kEngine, limit(2, -500ms)), "that one is over");
+  cr_assert_not(limits.observe(kEngine, limit(2, -500ms)), "older than the limit in force");
 }
 
 Test(engine_limits, end_after_a_surely_later_observation_and_apply_to_one_incarnation) {
   EngineLimits limits;
-  cr_assert_not(limits.observe(kEngine, limit({}, 0s)), "it never had one");
+  cr_assert_not(limits.observe(kEngine, limit({}, 0s)), "no limit to remove");
   limits.observe(kEngine, limit(1, 0s));
   cr_assert_not(limits.observe(kEngine, limit({}, 400ms)));
   cr_assert(limits.any_limited());
   cr_assert(limits.observe(kEngine, limit({}, 600ms)));
   cr_assert_not(limits.any_limited());
-  cr_assert_not(limits.observe(kEngine, limit(1, 50ms)), "news from before");
+  cr_assert_not(limits.observe(kEngine, limit(1, 50ms)), "outdated observation");
   cr_assert(limits.observe(kEngine, limit(1, 700ms)));
   cr_assert_not(limits.limit(EngineId("e.2")).has_value());
 }
@@ -61,7 +62,7 @@
 }
 
 Test(engine_limits, converge_on_the_last_observation_in_any_order) {
-  SHUNTBANK_PROPERTY("order of words", [] {
+  SHUNTBANK_PROPERTY("order of observations", [] {
     std::vector<ObservedLimit> observations;
     Duration at{};
     const auto count = *rc::gen::inRange(1, 8);
--- a/tests/core/relay/engine_model_test.cpp
+++ b/tests/core/relay/engine_model_test.cpp
@@ -14,7 +14,7 @@
   return from_seconds(ms / 1000);
 }
 
-/// Shows the model prompts of several sizes that took what an engine of these costs takes.
+/// Feeds the model prefills of several sizes with these costs.
 void train(PrefillModel& model, double token_ms, double setup_ms) {
   for (int round = 0; round < 40; ++round) {
     const auto tokens = static_cast<std::uint64_t>(500 + 700 * (round % 12));
@@ -70,8 +70,7 @@
 }
 
 Test(engine_model, possibly_queued_prompts_only_lower_the_estimate) {
-  // A node took its deferred prompts' waiting for reading, expected every prompt late, deferred all
-  // of them and never learned better: one zone earned 0.65 where another earned 0.87.
+  // Counting queueing as prefill time would defer every prompt, and the estimate never recover.
   EngineModel model;
   model.on_prompt_read(5000, from_ms(20), true);
   for (int i = 0; i < 50; ++i) model.on_prompt_read(5000, from_ms(1500), false);
@@ -83,7 +82,7 @@
 }
 
 Test(engine_model, adapts_when_no_engine_is_ever_idle) {
-  // Nodes that met no idle engine kept the defaults for the whole day, eight times too slow there.
+  // Otherwise the defaults would stay in use on a busy service.
   EngineModel model;
   const double before = model.prefill().prefill_ms(6000);
   for (int i = 0; i < 10; ++i) model.on_prompt_read(6000, from_ms(60), false);
--- a/tests/core/relay/engine_notice_test.cpp
+++ b/tests/core/relay/engine_notice_test.cpp
@@ -99,7 +99,7 @@
   engines.on_cooldown(kNow, incarnation(1).id, 3s);
   engines.upsert(incarnation(2));
   cr_assert(engines.find(incarnation(2).id)->accepts_requests(kNow));
-  // Late words of the start before.
+  // Late notices of the previous incarnation.
   engines.on_draining(incarnation(1).id);
   engines.on_cooldown(kNow, incarnation(1).id, 3s);
   cr_assert(engines.find(incarnation(2).id)->accepts_requests(kNow));
@@ -112,11 +112,11 @@
   engines.upsert(record("p", EngineStage::kPrefill));
   engines.on_cooldown(kNow, EngineId("a"), 3s);
   engines.on_cooldown(kNow, EngineId("b"), 2s);
-  cr_assert_not(engines.next_available_at(kNow, service).has_value(), "one takes requests now");
+  cr_assert_not(engines.next_available_at(kNow, service).has_value(), "one accepts requests now");
   engines.on_draining(EngineId("c"));
   cr_assert_eq(engines.next_available_at(kNow, service), kNow + 2s);
   engines.on_draining(EngineId("b"));
   cr_assert_eq(engines.next_available_at(kNow, service), kNow + 3s);
   engines.on_draining(EngineId("a"));
-  cr_assert_not(engines.next_available_at(kNow, service).has_value(), "none will be back");
+  cr_assert_not(engines.next_available_at(kNow, service).has_value(), "all are draining");
 }
