--- a/src/core/relay/crash_ledger.cpp
+++ b/src/core/relay/crash_ledger.cpp
@@ -205,9 +205,9 @@
                 [&](const auto& entry) { return unconfirmed.count(entry.first) == 0; });
   std::vector<EngineKey> checks;
   for (const EngineKey engine : unconfirmed) {
-    const auto [asked_at, first] = this->last_checks.try_emplace(engine, now);
-    if (!first && now - asked_at->second < kLivenessCheckInterval) continue;
-    asked_at->second = now;
+    const auto [last_check, first] = this->last_checks.try_emplace(engine, now);
+    if (!first && now - last_check->second < kLivenessCheckInterval) continue;
+    last_check->second = now;
     checks.push_back(engine);
   }
   return checks;
--- a/src/core/relay/engine_directory.hpp
+++ b/src/core/relay/engine_directory.hpp
@@ -188,7 +188,7 @@
   /// Sets the load of all nodes at a range of engines, as summed by a collector. While such sums
   /// arrive, they take precedence over reports of single nodes.
   /// @param own_counted this node's own share of the sum.
-  void on_fleet_load(MonotonicTime now, const LoadRange& part, const LoadByKey& own_counted);
+  void on_fleet_load(MonotonicTime now, const LoadRange& range, const LoadByKey& own_counted);
 
   /// Sets the maximum age of the load view that all nodes share and choose by meanwhile. Zero if
   /// nodes receive each other's reports directly.
@@ -238,7 +238,7 @@
   double average_prefill_tokens() const { return average_prefill_tokens_; }
 
   /// Updates `average_prefill_tokens` when a remote prefill is sent.
-  void on_prompt_sent(std::uint64_t unread);
+  void on_prompt_sent(std::uint64_t prefill_tokens);
 
   /// @return the cost model for the engines of a service.
   const EngineModel& model_of(const ServiceName& service) const;
@@ -265,7 +265,7 @@
   void apply_peer_load(const std::map<EngineId, PeerLoad>& load, bool subtract);
   void update_peer_load(EngineView& engine) const;
   void erase_key(const EngineView& engine);
-  Duration add_jitter(Duration shortest, const EngineId& engine);
+  Duration add_jitter(Duration base, const EngineId& engine);
   void update_all_peer_loads();
 
   std::uint64_t seed_;
--- a/src/core/relay/engine_directory_health.cpp
+++ b/src/core/relay/engine_directory_health.cpp
@@ -94,15 +94,15 @@
   engine->backoff_until = std::max(engine->backoff_until, now + backoff);
 }
 
-Duration EngineDirectory::add_jitter(Duration shortest, const EngineId& engine) {
+Duration EngineDirectory::add_jitter(Duration base, const EngineId& engine) {
   const double fraction = hash_fraction(engine.value(), seed_ + ++jitter_draws_);
   const double factor = 1 + (kMaxJitterFactor - 1) * fraction;
-  return Duration(static_cast<std::int64_t>(static_cast<double>(shortest.count()) * factor));
+  return Duration(static_cast<std::int64_t>(static_cast<double>(base.count()) * factor));
 }
 
-void EngineDirectory::on_prompt_sent(std::uint64_t unread) {
+void EngineDirectory::on_prompt_sent(std::uint64_t prefill_tokens) {
   average_prefill_tokens_ +=
-      kNewestWeight * (static_cast<double>(unread) - average_prefill_tokens_);
+      kNewestWeight * (static_cast<double>(prefill_tokens) - average_prefill_tokens_);
 }
 
 const EngineModel& EngineDirectory::model_of(const ServiceName& service) const {
--- a/src/core/relay/engine_directory_load.cpp
+++ b/src/core/relay/engine_directory_load.cpp
@@ -66,14 +66,14 @@
   if (first) update_all_peer_loads();
 }
 
-void EngineDirectory::on_fleet_load(MonotonicTime now, const LoadRange& part,
+void EngineDirectory::on_fleet_load(MonotonicTime now, const LoadRange& range,
                                     const LoadByKey& own_counted) {
   fleet_load_at_ = now;
   // A sum may be split into several ranges; only the engines of this one are updated.
-  for (auto it = by_key_.lower_bound(part.first); it != by_key_.end() && part.covers(it->first);
+  for (auto it = by_key_.lower_bound(range.first); it != by_key_.end() && range.covers(it->first);
        ++it) {
-    const auto summed = part.load.find(it->first);
-    PeerLoad others = summed == part.load.end() ? PeerLoad{} : summed->second;
+    const auto summed = range.load.find(it->first);
+    PeerLoad others = summed == range.load.end() ? PeerLoad{} : summed->second;
     const auto own = own_counted.find(it->first);
     if (own != own_counted.end()) others -= own->second;
     it->second->peer_load = others;
--- a/src/core/relay/engine_limit.hpp
+++ b/src/core/relay/engine_limit.hpp
@@ -38,7 +38,7 @@
 };
 
 /// Greater ages are cut to this.
-constexpr std::uint32_t kMaxLimitAgeMs = 3'600'000;  // ms
+constexpr std::uint32_t kMaxLimitAgeMs = 3'600'000;
 
 LimitReport to_report(const ObservedLimit& limit, MonotonicTime now);
 ObservedLimit to_observed(const LimitReport& report, MonotonicTime now);
--- a/src/core/relay/engine_model.cpp
+++ b/src/core/relay/engine_model.cpp
@@ -123,8 +123,8 @@
   return this->unloaded_interval_ms;
 }
 
-void EngineModel::on_event_interval(Duration between_events) {
-  const double ms = to_ms(between_events);
+void EngineModel::on_event_interval(Duration interval) {
+  const double ms = to_ms(interval);
   if (this->unloaded_interval_ms == 0) this->unloaded_interval_ms = ms;
   const double weight = ms < this->unloaded_interval_ms ? kDecreaseWeight : kIncreaseWeight;
   this->unloaded_interval_ms += weight * (ms - this->unloaded_interval_ms);
--- a/src/core/relay/engine_model.hpp
+++ b/src/core/relay/engine_model.hpp
@@ -81,7 +81,7 @@
 
   /// @return milliseconds between the events of a stream at an unloaded engine, or 0 if unknown.
   double unloaded_event_interval_ms() const;
-  void on_event_interval(Duration between_events);
+  void on_event_interval(Duration interval);
 
  private:
   PrefillModel prefill_model;
