--- a/src/core/relay/attempt_outcome.hpp
+++ b/src/core/relay/attempt_outcome.hpp
@@ -21,10 +21,10 @@
   std::uint32_t may_have_run =
       0;                        ///< Attempts that ended uncertain or with an engine's own failure.
   bool head_forwarded = false;  ///< The caller has the head of a stream.
-  bool prompt_sent = false;     ///< The prompt was sent to be read apart, once.
+  bool prefill_sent = false;    ///< The prompt was sent to be read apart, once.
   /// An engine may have seen the request, so that each further send is an extra dispatch. A prompt
   /// that was sent first and read apart belongs to the send that takes it up.
-  bool arrived = false;
+  bool may_have_arrived = false;
 };
 
 /// What happens next.
@@ -42,7 +42,7 @@
 AttemptVerdict after_failure(const Route& route, const AttemptHistory& history);
 
 /// @return whether a refusal that promises "not run" is true.
-inline bool may_promise_not_run(const AttemptHistory& history) {
+inline bool known_not_run(const AttemptHistory& history) {
   return history.may_have_run == 0;
 }
 
--- a/src/core/relay/collector_choice.cpp
+++ b/src/core/relay/collector_choice.cpp
@@ -21,51 +21,52 @@
   return order;
 }
 
-void CollectorChoice::set_order(std::vector<NodeId> nodes) {
+void CollectorSelector::set_order(std::vector<NodeId> nodes) {
   this->order = std::move(nodes);
-  const bool known = this->chosen && std::find(this->order.begin(), this->order.end(),
-                                               *this->chosen) != this->order.end();
-  if (!known) this->chosen.reset();
+  const bool known = this->current && std::find(this->order.begin(), this->order.end(),
+                                                *this->current) != this->order.end();
+  if (!known) this->current.reset();
 }
 
-void CollectorChoice::on_view(MonotonicTime now, const NodeId& collector) {
-  if (this->chosen == collector) this->heard_at = now;
+void CollectorSelector::on_view(MonotonicTime now, const NodeId& collector) {
+  if (this->current == collector) this->last_view_at = now;
 }
 
-bool CollectorChoice::suspected(MonotonicTime now, const NodeId& node) const {
-  const auto found = this->suspected_until.find(node);
-  return found != this->suspected_until.end() && found->second > now;
+bool CollectorSelector::is_suspect(MonotonicTime now, const NodeId& node) const {
+  const auto found = this->suspect_until.find(node);
+  return found != this->suspect_until.end() && found->second > now;
 }
 
-std::optional<NodeId> CollectorChoice::poll(MonotonicTime now) {
-  std::optional<NodeId> given_up;
-  if (this->chosen && now - this->heard_at > this->settings.silence) {
-    this->suspected_until[*this->chosen] = now + this->settings.suspicion;
-    given_up = std::exchange(this->chosen, std::nullopt);
+std::optional<NodeId> CollectorSelector::poll(MonotonicTime now) {
+  std::optional<NodeId> replaced;
+  if (this->current && now - this->last_view_at > this->settings.view_timeout) {
+    this->suspect_until[*this->current] = now + this->settings.suspect_duration;
+    replaced = std::exchange(this->current, std::nullopt);
   }
-  if (!this->chosen) this->choose(now);
-  return given_up;
+  if (!this->current) this->select(now);
+  return replaced;
 }
 
-void CollectorChoice::choose(MonotonicTime now) {
+void CollectorSelector::select(MonotonicTime now) {
   if (this->order.empty()) return;
-  const auto sound = std::find_if(this->order.begin(), this->order.end(),
-                                  [&](const NodeId& node) { return !this->suspected(now, node); });
+  const auto responsive =
+      std::find_if(this->order.begin(), this->order.end(),
+                   [&](const NodeId& node) { return !this->is_suspect(now, node); });
   // Where all are suspected, it is rather this node that was cut off or stood still.
-  if (sound == this->order.end()) this->suspected_until.clear();
-  this->chosen = sound == this->order.end() ? this->order.front() : *sound;
-  this->heard_at = now;
+  if (responsive == this->order.end()) this->suspect_until.clear();
+  this->current = responsive == this->order.end() ? this->order.front() : *responsive;
+  this->last_view_at = now;
 }
 
-std::vector<NodeId> CollectorChoice::told(MonotonicTime now) const {
+std::vector<NodeId> CollectorSelector::report_targets(MonotonicTime now) const {
   std::vector<NodeId> nodes;
-  if (!this->chosen) return nodes;
-  nodes.push_back(*this->chosen);
+  if (!this->current) return nodes;
+  nodes.push_back(*this->current);
   // Suspected ones only where no others are left: they may be back.
-  for (const bool suspects : {false, true}) {
+  for (const bool suspect : {false, true}) {
     for (const NodeId& node : this->order) {
-      if (nodes.size() >= this->settings.told) return nodes;
-      if (node != *this->chosen && this->suspected(now, node) == suspects) nodes.push_back(node);
+      if (nodes.size() >= this->settings.report_count) return nodes;
+      if (node != *this->current && this->is_suspect(now, node) == suspect) nodes.push_back(node);
     }
   }
   return nodes;
--- a/src/core/relay/collector_choice.hpp
+++ b/src/core/relay/collector_choice.hpp
@@ -33,21 +33,23 @@
 std::vector<NodeId> collector_order(const PeerRecords& nodes, const ZoneName& zone);
 
 /// Tunables of the choice.
-struct CollectorChoiceSettings {
-  std::size_t told = 2;  ///< Collectors that a node tells, so that one may fail without a gap.
+struct CollectorSelectorSettings {
+  std::size_t report_count =
+      2;  ///< Collectors that a node tells, so that one may fail without a gap.
   /// A collector that was asked for the view and has not sent it for so long is taken for dead.
   /// Three or four views are missing then.
-  Duration silence = std::chrono::milliseconds(400);
+  Duration view_timeout = std::chrono::milliseconds(400);
   /// After so much silence it is asked again: the message may be lost, or came too early for it.
-  Duration ask_again = std::chrono::milliseconds(150);
+  Duration view_request_interval = std::chrono::milliseconds(150);
   /// For so long another one is preferred; a restart of a process takes about as long.
-  Duration suspicion = std::chrono::seconds(5);
+  Duration suspect_duration = std::chrono::seconds(5);
 };
 
 /// The collectors of one node.
-class CollectorChoice {
+class CollectorSelector {
  public:
-  explicit CollectorChoice(const CollectorChoiceSettings& own_settings) : settings(own_settings) {}
+  explicit CollectorSelector(const CollectorSelectorSettings& own_settings)
+      : settings(own_settings) {}
 
   /// Takes the order of the zone's nodes.
   void set_order(std::vector<NodeId> nodes);
@@ -60,25 +62,25 @@
   std::optional<NodeId> poll(MonotonicTime now);
 
   /// @return whether the collector should be asked again.
-  bool waits(MonotonicTime now) const {
-    return this->chosen && now - this->heard_at > this->settings.ask_again;
+  bool should_request_view(MonotonicTime now) const {
+    return this->current && now - this->last_view_at > this->settings.view_request_interval;
   }
 
   /// @return the collector that is asked for the view, if there is any.
-  const std::optional<NodeId>& source() const { return this->chosen; }
+  const std::optional<NodeId>& source() const { return this->current; }
 
   /// @return the collectors that are told this node's load, the source first.
-  std::vector<NodeId> told(MonotonicTime now) const;
+  std::vector<NodeId> report_targets(MonotonicTime now) const;
 
  private:
-  bool suspected(MonotonicTime now, const NodeId& node) const;
-  void choose(MonotonicTime now);
+  bool is_suspect(MonotonicTime now, const NodeId& node) const;
+  void select(MonotonicTime now);
 
-  CollectorChoiceSettings settings;
+  CollectorSelectorSettings settings;
   std::vector<NodeId> order;
-  std::optional<NodeId> chosen;
-  MonotonicTime heard_at{};  ///< Of the chosen one; the time of the choice before that.
-  std::map<NodeId, MonotonicTime> suspected_until;
+  std::optional<NodeId> current;
+  MonotonicTime last_view_at{};  ///< Of the current one; the time of the choice before that.
+  std::map<NodeId, MonotonicTime> suspect_until;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/crash_ledger.cpp
+++ b/src/core/relay/crash_ledger.cpp
@@ -32,15 +32,15 @@
   return suspect.trial && now - suspect.trial->since <= this->settings.longest_trial;
 }
 
-std::set<CallerKey> CrashLedger::callers_of(const Suspect& suspect) {
-  std::set<CallerKey> callers;
+std::set<CallerAddressHash> CrashLedger::callers_of(const Suspect& suspect) {
+  std::set<CallerAddressHash> callers;
   for (const auto& [engine, broken] : suspect.engines) {
     if (broken.ended) callers.insert(broken.caller);
   }
   return callers;
 }
 
-CrashStanding CrashLedger::standing(MonotonicTime now, const TriedRequest& tried) const {
+CrashStanding CrashLedger::standing(MonotonicTime now, const CallerRequest& tried) const {
   const auto found = this->suspects.find(tried.request);
   if (found == this->suspects.end()) return {};
   const Suspect& suspect = found->second;
--- a/src/core/relay/crash_ledger.hpp
+++ b/src/core/relay/crash_ledger.hpp
@@ -60,7 +60,7 @@
   std::vector<EngineKey> ended;
   /// Whence it came as engines ended. From one address alone: only that one is held back, so that
   /// nobody gets another's request refused by sending the same; from several: all are.
-  std::set<CallerKey> callers;
+  std::set<CallerAddressHash> callers;
   Duration left = Duration::zero();
 
   /// @return whether it is held back from wherever it comes.
@@ -70,7 +70,7 @@
 
 /// One engine's doing with one request.
 struct BrokenRequest {
-  TriedRequest tried;
+  CallerRequest tried;
   EngineKey engine = 0;
   /// The engine said nothing, rather than close the connection; counts only once it is known to
   /// have ended.
@@ -83,7 +83,7 @@
 /// What one engine's end says against one request.
 struct CrashEvidence {
   EngineKey engine = 0;
-  CallerKey caller = 0;
+  CallerAddressHash caller = 0;
   MonotonicTime at{};
   bool ended = false;
 
@@ -99,7 +99,7 @@
   bool empty() const { return this->suspects.empty(); }
 
   /// @return what is known against a request, for a try that comes from where it does.
-  CrashStanding standing(MonotonicTime now, const TriedRequest& tried) const;
+  CrashStanding standing(MonotonicTime now, const CallerRequest& tried) const;
 
   /// @return whether a request is held back, from wherever.
   bool holds(const RequestIdentity& request) const { return this->held_back.count(request) > 0; }
@@ -162,7 +162,7 @@
  private:
   struct Broken {
     MonotonicTime at{};
-    CallerKey caller = 0;
+    CallerAddressHash caller = 0;
     bool silent = false;
     bool heard = false;
     bool ended = false;
@@ -190,7 +190,7 @@
   void make_room();
   static std::size_t count_broken(const Suspect& suspect);
   static std::size_t count_ended(const Suspect& suspect);
-  static std::set<CallerKey> callers_of(const Suspect& suspect);
+  static std::set<CallerAddressHash> callers_of(const Suspect& suspect);
 
   CrashLedgerSettings settings;
   Suspects suspects;
--- a/src/core/relay/crash_report.hpp
+++ b/src/core/relay/crash_report.hpp
@@ -25,9 +25,9 @@
 struct CrashReport {
   CrashNews news = CrashNews::kBroken;
   RequestIdentity request;
-  EngineKey engine = 0;      ///< Nothing where a request is cleared.
-  CallerKey caller = 0;      ///< Whence the request came; nothing where it is cleared.
-  std::uint32_t age_ms = 0;  ///< How long ago it happened, when the message was made.
+  EngineKey engine = 0;          ///< Nothing where a request is cleared.
+  CallerAddressHash caller = 0;  ///< Whence the request came; nothing where it is cleared.
+  std::uint32_t age_ms = 0;      ///< How long ago it happened, when the message was made.
 
   bool operator==(const CrashReport&) const = default;
 };
--- a/src/core/relay/dispatch_choice.cpp
+++ b/src/core/relay/dispatch_choice.cpp
@@ -5,12 +5,12 @@
 namespace shuntbank::relay {
 namespace {
 
-std::optional<Placement> place_at(MonotonicTime now, EngineDirectory& engines,
-                                  const DispatchQuery& query, EngineStage stage,
-                                  const PlacementSettings& settings) {
-  PlacementQuery at_stage = query.placement;
-  at_stage.stage = stage;
-  return place(now, engines, at_stage, settings);
+std::optional<Placement> place_in_stage(MonotonicTime now, EngineDirectory& engines,
+                                        const DispatchQuery& query, EngineStage stage,
+                                        const PlacementSettings& settings) {
+  PlacementQuery stage_query = query.placement;
+  stage_query.stage = stage;
+  return place(now, engines, stage_query, settings);
 }
 
 double streams_at(MonotonicTime now, const EngineDirectory& engines, const Placement& placement) {
@@ -20,102 +20,105 @@
 /// @return milliseconds from the reading of a prompt apart to its first token.
 double handover_ms(const EngineDirectory& engines, const DispatchQuery& query) {
   return engines.model_of(query.placement.service->name).handover_ms() +
-         query.placement.service->model->move_ms(query.placement.prompt->prompt_tokens);
+         query.placement.service->model->transfer_ms(query.placement.prompt->prompt_tokens);
 }
 
 /// Reading where tokens are made holds up every stream that runs there.
-double direct_path_cost(MonotonicTime now, const EngineDirectory& engines,
-                        const DispatchQuery& query, const Placement& decode,
-                        const PrefillSettings& settings) {
+double direct_cost_ms(MonotonicTime now, const EngineDirectory& engines, const DispatchQuery& query,
+                      const Placement& decode, const PrefillSettings& settings) {
   const EngineModel& model = engines.model_of(query.placement.service->name);
-  const double reading = model.decode_read_ms(static_cast<double>(decode.unread_tokens));
+  const double reading = model.decode_read_ms(static_cast<double>(decode.prefill_tokens));
   const double streams = streams_at(now, engines, decode);
-  return decode.cost_ms + reading * streams * settings.held_up_stream_weight;
+  return decode.cost_ms + reading * streams * settings.stalled_stream_weight;
 }
 
 /// @return whether the streams at a decode engine stay in time while it reads the prompt.
-bool streams_bear(MonotonicTime now, const EngineDirectory& engines, const DispatchQuery& query,
-                  const Placement& decode, const PrefillSettings& settings) {
+bool streams_stay_in_time(MonotonicTime now, const EngineDirectory& engines,
+                          const DispatchQuery& query, const Placement& decode,
+                          const PrefillSettings& settings) {
   const double target = to_ms(query.gap_target);
   if (target <= 0) return true;
   const EngineModel& model = engines.model_of(query.placement.service->name);
   const EngineView& engine = *engines.find(decode.engine);
   const double pace = engine.recent_pace_ms(now, model.free_pace_ms());
-  const double reading = model.decode_read_ms(static_cast<double>(decode.unread_tokens));
+  const double reading = model.decode_read_ms(static_cast<double>(decode.prefill_tokens));
   return pace + reading <= target * settings.pause_share;
 }
 
-bool may_read_apart(const DispatchQuery& query) {
-  return query.placement.prompt != nullptr && !query.prompt_sent;
+bool may_prefill_remotely(const DispatchQuery& query) {
+  return query.placement.prompt != nullptr && !query.prefill_sent;
 }
 
 /// @return the engine that would read the prompt apart, unless the budget bears no send after it
 /// and one is sure or likely to be charged.
-std::optional<Placement> place_reader(MonotonicTime now, EngineDirectory& engines,
-                                      const DispatchQuery& query,
-                                      const PlacementSettings& placement,
-                                      const PrefillSettings& prefill) {
-  auto reader = place_at(now, engines, query, EngineStage::kPrefill, placement);
-  if (!reader || query.budget >= prefill.least_budget) return reader;
-  const bool avoided = engines.find(reader->engine)->avoided_until > now;
-  return query.extra || avoided ? std::nullopt : reader;
+std::optional<Placement> place_prefill(MonotonicTime now, EngineDirectory& engines,
+                                       const DispatchQuery& query,
+                                       const PlacementSettings& placement,
+                                       const PrefillSettings& prefill) {
+  auto prefill_placement = place_in_stage(now, engines, query, EngineStage::kPrefill, placement);
+  if (!prefill_placement || query.retry_budget >= prefill.min_retry_budget)
+    return prefill_placement;
+  const bool avoided = engines.find(prefill_placement->engine)->avoided_until > now;
+  return query.extra_dispatch || avoided ? std::nullopt : prefill_placement;
 }
 
-DispatchChoice whole(const Placement& decode) {
+DispatchPlan direct_dispatch(const Placement& decode) {
   return {false, decode, {}, decode.expected_ms, false};
 }
 
 /// The prompt is read while its taker's permit is waited for.
-DispatchChoice apart(const Placement& reader, const Placement& taker, double permit_ms,
-                     double handover) {
-  return {true, reader, taker, std::max(reader.expected_ms, permit_ms) + handover, false};
+DispatchPlan remote_prefill_dispatch(const Placement& prefill_placement, const Placement& decode,
+                                     double permit_ms, double handover) {
+  return {true, prefill_placement, decode,
+          std::max(prefill_placement.expected_ms, permit_ms) + handover, false};
 }
 
 /// Chooses without regard to the objective.
-std::optional<DispatchChoice> choose_path(MonotonicTime now, EngineDirectory& engines,
-                                          const DispatchQuery& query,
-                                          const PlacementSettings& placement,
-                                          const PrefillSettings& prefill) {
+std::optional<DispatchPlan> plan_ignoring_objective(MonotonicTime now, EngineDirectory& engines,
+                                                    const DispatchQuery& query,
+                                                    const PlacementSettings& placement,
+                                                    const PrefillSettings& prefill) {
   const bool model = query.placement.service->model.has_value();
-  const EngineStage answering = model ? EngineStage::kDecode : EngineStage::kNone;
-  const auto decode = place_at(now, engines, query, answering, placement);
+  const EngineStage stage = model ? EngineStage::kDecode : EngineStage::kNone;
+  const auto decode = place_in_stage(now, engines, query, stage, placement);
   if (!decode) return std::nullopt;
-  if (!model || !may_read_apart(query)) return whole(*decode);
-  const auto reader = place_reader(now, engines, query, placement, prefill);
-  if (!reader) return whole(*decode);
+  if (!model || !may_prefill_remotely(query)) return direct_dispatch(*decode);
+  const auto prefill_placement = place_prefill(now, engines, query, placement, prefill);
+  if (!prefill_placement) return direct_dispatch(*decode);
   const double handover = handover_ms(engines, query);
   const double permit_ms = to_ms(engines.find(decode->engine)->permit_wait(now));
-  const DispatchChoice read_apart = apart(*reader, *decode, permit_ms, handover);
-  const bool too_late = read_apart.expected_ms > query.placement.most_expected_ms;
-  if (permit_ms > 0 && too_late) return whole(*decode);
-  if (!streams_bear(now, engines, query, *decode, prefill)) return read_apart;
-  const double direct_cost = direct_path_cost(now, engines, query, *decode, prefill);
+  const DispatchPlan remote =
+      remote_prefill_dispatch(*prefill_placement, *decode, permit_ms, handover);
+  const bool too_late = remote.expected_ms > query.placement.max_expected_ms;
+  if (permit_ms > 0 && too_late) return direct_dispatch(*decode);
+  if (!streams_stay_in_time(now, engines, query, *decode, prefill)) return remote;
+  const double direct_cost = direct_cost_ms(now, engines, query, *decode, prefill);
   // The wait for the permit is in the cost of the direct way, and passes while the prompt is read.
-  const double waits_on_ms = std::max(0.0, permit_ms - reader->expected_ms);
-  const double apart_cost = reader->cost_ms + waits_on_ms + handover;
-  return apart_cost < direct_cost ? read_apart : whole(*decode);
+  const double remaining_permit_ms = std::max(0.0, permit_ms - prefill_placement->expected_ms);
+  const double remote_cost = prefill_placement->cost_ms + remaining_permit_ms + handover;
+  return remote_cost < direct_cost ? remote : direct_dispatch(*decode);
 }
 
-bool in_time(const DispatchQuery& query, const DispatchChoice& choice,
+bool in_time(const DispatchQuery& query, const DispatchPlan& plan,
              const PrefillSettings& settings) {
   if (query.placement.prompt == nullptr || query.time_to_objective == Duration::max()) return true;
-  const double left_ms = to_ms(query.time_to_objective);
-  return choice.expected_ms <= left_ms * settings.in_time_share;
+  const double remaining_ms = to_ms(query.time_to_objective);
+  return plan.expected_ms <= remaining_ms * settings.in_time_share;
 }
 
 }  // namespace
 
-std::optional<DispatchChoice> choose_dispatch(MonotonicTime now, EngineDirectory& engines,
-                                              const DispatchQuery& query,
-                                              const PlacementSettings& placement,
-                                              const PrefillSettings& prefill) {
-  auto choice = choose_path(now, engines, query, placement, prefill);
-  if (!choice || in_time(query, *choice, prefill)) return choice;
-  DispatchQuery behind = query;
-  behind.placement.deferred = true;
-  auto deferred = choose_path(now, engines, behind, placement, prefill);
+std::optional<DispatchPlan> plan_dispatch(MonotonicTime now, EngineDirectory& engines,
+                                          const DispatchQuery& query,
+                                          const PlacementSettings& placement,
+                                          const PrefillSettings& prefill) {
+  auto plan = plan_ignoring_objective(now, engines, query, placement, prefill);
+  if (!plan || in_time(query, *plan, prefill)) return plan;
+  DispatchQuery deferred_query = query;
+  deferred_query.placement.deferred = true;
+  auto deferred = plan_ignoring_objective(now, engines, deferred_query, placement, prefill);
   // A limited engine may take it in time only ahead of what can wait.
-  if (!deferred) return choice;
+  if (!deferred) return plan;
   deferred->deferred = true;
   return deferred;
 }
@@ -124,14 +127,14 @@
                                                  const DispatchQuery& query,
                                                  const PlacementSettings& placement,
                                                  const PrefillSettings& prefill) {
-  const auto first =
-      engines.first_return(now, query.placement.service->name, query.placement.avoid);
-  if (!first) return std::nullopt;
-  const auto choice = choose_path(*first, engines, query, placement, prefill);
-  if (!choice) return std::nullopt;
-  const double left_then_ms = to_ms(query.time_to_objective - (*first - now));
-  if (choice->expected_ms > left_then_ms) return std::nullopt;
-  return first;
+  const auto available_at =
+      engines.first_return(now, query.placement.service->name, query.placement.excluded_engines);
+  if (!available_at) return std::nullopt;
+  const auto plan = plan_ignoring_objective(*available_at, engines, query, placement, prefill);
+  if (!plan) return std::nullopt;
+  const double remaining_ms = to_ms(query.time_to_objective - (*available_at - now));
+  if (plan->expected_ms > remaining_ms) return std::nullopt;
+  return available_at;
 }
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/keeper_choice.cpp
+++ b/src/core/relay/keeper_choice.cpp
@@ -9,23 +9,23 @@
 namespace {
 
 /// Nodes that may keep an engine's limit: of those that are listed so many may be gone at once.
-constexpr std::size_t kMostKeepers = 64;
+constexpr std::size_t kMaxOwnerCandidates = 64;
 
 /// Engines whose order is remembered; an order is made anew in some microseconds a node.
-constexpr std::size_t kMostOrders = 1024;
+constexpr std::size_t kMaxCachedRankings = 1024;
 
 }  // namespace
 
-void KeeperChoice::set_nodes(std::vector<NodeId> all) {
+void LimitOwnerSelector::set_nodes(std::vector<NodeId> all) {
   std::sort(all.begin(), all.end());
   if (all == this->nodes) return;
   this->nodes = std::move(all);
-  this->orders.clear();
+  this->rankings.clear();
 }
 
-const std::vector<NodeId>& KeeperChoice::order(const EngineId& engine) {
-  if (this->orders.size() >= kMostOrders) this->orders.clear();
-  const auto [entry, added] = this->orders.try_emplace(engine);
+const std::vector<NodeId>& LimitOwnerSelector::ranking(const EngineId& engine) {
+  if (this->rankings.size() >= kMaxCachedRankings) this->rankings.clear();
+  const auto [entry, added] = this->rankings.try_emplace(engine);
   if (!added) return entry->second;
   std::vector<std::pair<std::uint64_t, NodeId>> ranked;
   ranked.reserve(this->nodes.size());
@@ -34,46 +34,48 @@
   }
   std::sort(ranked.begin(), ranked.end());
   for (auto& [rank, node] : ranked) {
-    if (entry->second.size() >= kMostKeepers) break;
+    if (entry->second.size() >= kMaxOwnerCandidates) break;
     entry->second.push_back(std::move(node));
   }
   return entry->second;
 }
 
-bool KeeperChoice::silent(MonotonicTime now, const NodeId& node) const {
-  const auto found = this->contacts.find(node);
-  return found != this->contacts.end() && now - found->second.unanswered_since > kKeeperSilence;
+bool LimitOwnerSelector::is_unresponsive(MonotonicTime now, const NodeId& node) const {
+  const auto found = this->pending_replies.find(node);
+  return found != this->pending_replies.end() &&
+         now - found->second.unanswered_since > kOwnerTimeout;
 }
 
-std::optional<NodeId> KeeperChoice::keeper(MonotonicTime now, const EngineId& engine) {
-  for (const NodeId& node : this->order(engine)) {
-    if (node == this->self || !this->silent(now, node)) return node;
+std::optional<NodeId> LimitOwnerSelector::owner(MonotonicTime now, const EngineId& engine) {
+  for (const NodeId& node : this->ranking(engine)) {
+    if (node == this->self || !this->is_unresponsive(now, node)) return node;
   }
   return std::nullopt;
 }
 
-bool KeeperChoice::is_first(const EngineId& engine) {
-  const std::vector<NodeId>& ranked = this->order(engine);
+bool LimitOwnerSelector::is_preferred_owner(const EngineId& engine) {
+  const std::vector<NodeId>& ranked = this->ranking(engine);
   return ranked.empty() || ranked.front() == this->self;
 }
 
-void KeeperChoice::on_asked(MonotonicTime now, const NodeId& node) {
-  const auto [contact, added] = this->contacts.try_emplace(node, Contact{now, now});
-  contact->second.asked_at = now;
+void LimitOwnerSelector::on_request_sent(MonotonicTime now, const NodeId& node) {
+  const auto [pending, added] = this->pending_replies.try_emplace(node, PendingReply{now, now});
+  pending->second.last_sent_at = now;
 }
 
-std::vector<NodeId> KeeperChoice::to_ask(MonotonicTime now, const EngineId& engine) {
-  std::vector<NodeId> asked;
-  for (const NodeId& node : this->order(engine)) {
+std::vector<NodeId> LimitOwnerSelector::nodes_to_probe(MonotonicTime now, const EngineId& engine) {
+  std::vector<NodeId> due;
+  for (const NodeId& node : this->ranking(engine)) {
     if (node == this->self) break;
-    const auto contact = this->contacts.find(node);
-    const bool passed_over = this->silent(now, node);
-    const Duration pause = passed_over ? kAskSilentAgain : kAskKeeperAgain;
-    const bool waits = contact != this->contacts.end() && now - contact->second.asked_at >= pause;
-    if (waits) asked.push_back(node);
-    if (!passed_over) break;
+    const auto pending = this->pending_replies.find(node);
+    const bool unresponsive = this->is_unresponsive(now, node);
+    const Duration interval = unresponsive ? kSilentNodeProbeInterval : kOwnerProbeInterval;
+    const bool is_due =
+        pending != this->pending_replies.end() && now - pending->second.last_sent_at >= interval;
+    if (is_due) due.push_back(node);
+    if (!unresponsive) break;
   }
-  return asked;
+  return due;
 }
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/load_collector.hpp
+++ b/src/core/relay/load_collector.hpp
@@ -44,16 +44,16 @@
 /// A node that asks for the view.
 struct Subscriber {
   NodeId node;
-  std::uint64_t counted = 0;  ///< Its newest message in the sum.
+  std::uint64_t last_sequence = 0;  ///< Its newest message in the sum.
 };
 
 /// Tunables of a collector.
 struct LoadCollectorSettings {
   /// A node that was not heard of for so long has nothing under way as far as others can tell. Idle
   /// nodes tell so each second.
-  Duration member_life = std::chrono::milliseconds(2500);
+  Duration member_timeout = std::chrono::milliseconds(2500);
   /// A sum that is older than this gives way to that of the zone's other collector.
-  Duration fresh_sum = std::chrono::milliseconds(400);
+  Duration max_sum_age = std::chrono::milliseconds(400);
 };
 
 /// Sums up. Knows no clock: callers pass the time in.
@@ -62,11 +62,11 @@
   explicit LoadCollector(const LoadCollectorSettings& own_settings) : settings(own_settings) {}
 
   /// A node of this zone tells its load. @return whether it was news.
-  bool on_member(MonotonicTime now, const NodeId& node, MemberLoad told);
+  bool on_member_load(MonotonicTime now, const NodeId& node, MemberLoad report);
 
   /// A collector of another zone tells its sum. @return whether this collector is the one whose
   /// word is taken for that zone.
-  bool on_zone(MonotonicTime now, const ZoneLoad& told);
+  bool on_zone_load(MonotonicTime now, const ZoneLoad& report);
 
   /// Forgets who was not heard of for long.
   void expire(MonotonicTime now);
@@ -89,26 +89,26 @@
   std::vector<Subscriber> subscribers() const;
 
   /// @return the collectors of another zone that were heard lately.
-  std::vector<NodeId> heard_of(MonotonicTime now, const ZoneName& zone) const;
+  std::vector<NodeId> active_collectors(MonotonicTime now, const ZoneName& zone) const;
 
  private:
   struct Member {
-    MonotonicTime heard_at{};
-    MemberLoad told;
+    MonotonicTime received_at{};
+    MemberLoad report;
   };
   struct Sum {
-    MonotonicTime heard_at{};
+    MonotonicTime received_at{};
     MessageNumber number;
     std::size_t nodes = 0;
     LoadByKey load;
   };
   using SumsByCollector = std::map<NodeId, Sum>;
-  using ChosenSum = std::optional<SumsByCollector::const_iterator>;
+  using SelectedSum = std::optional<SumsByCollector::const_iterator>;
 
-  ChosenSum chosen(MonotonicTime now, const SumsByCollector& sums) const;
+  SelectedSum select_sum(MonotonicTime now, const SumsByCollector& sums) const;
 
   /// @return the sum that is taken of each other zone.
-  std::vector<const Sum*> taken(MonotonicTime now) const;
+  std::vector<const Sum*> selected_sums(MonotonicTime now) const;
 
   LoadCollectorSettings settings;
   std::map<NodeId, Member> members;
--- a/src/core/relay/peer_load.cpp
+++ b/src/core/relay/peer_load.cpp
@@ -6,14 +6,14 @@
 
 PeerLoad& PeerLoad::operator+=(const PeerLoad& more) {
   in_flight += more.in_flight;
-  unread_tokens += more.unread_tokens;
+  prefill_tokens += more.prefill_tokens;
   deferred_tokens += more.deferred_tokens;
   return *this;
 }
 
 PeerLoad& PeerLoad::operator-=(const PeerLoad& less) {
   in_flight -= std::min(in_flight, less.in_flight);
-  unread_tokens -= std::min(unread_tokens, less.unread_tokens);
+  prefill_tokens -= std::min(prefill_tokens, less.prefill_tokens);
   deferred_tokens -= std::min(deferred_tokens, less.deferred_tokens);
   return *this;
 }
--- a/src/core/relay/peer_load.hpp
+++ b/src/core/relay/peer_load.hpp
@@ -13,8 +13,8 @@
 /// Work that a node, or a group of nodes, has under way at an engine.
 struct PeerLoad {
   std::uint32_t in_flight = 0;
-  std::uint64_t unread_tokens = 0;
-  std::uint64_t deferred_tokens = 0;  ///< Of `unread_tokens`: read only when nothing else waits.
+  std::uint64_t prefill_tokens = 0;
+  std::uint64_t deferred_tokens = 0;  ///< Of `prefill_tokens`: read only when nothing else waits.
 
   PeerLoad& operator+=(const PeerLoad& more);
   PeerLoad& operator-=(const PeerLoad& less);  ///< Never below nothing.
--- a/src/core/relay/permit_schedule.cpp
+++ b/src/core/relay/permit_schedule.cpp
@@ -5,36 +5,37 @@
 namespace shuntbank::relay {
 namespace {
 
-Duration interval(double a_second) {
-  return from_seconds(1 / std::max(a_second, kLeastRate));
+Duration interval(double per_second) {
+  return from_seconds(1 / std::max(per_second, kMinPermitRate));
 }
 
-Duration burst(double a_second) {
-  return from_seconds((kPermitBurst - 1) / std::max(a_second, kLeastRate));
+Duration burst_tolerance(double per_second) {
+  return from_seconds((kPermitBurst - 1) / std::max(per_second, kMinPermitRate));
 }
 
 }  // namespace
 
-MonotonicTime PermitSchedule::next(MonotonicTime now, double a_second) const {
-  return std::max(now, this->due - burst(a_second));
+MonotonicTime PermitSchedule::next(MonotonicTime now, double per_second) const {
+  return std::max(now, this->next_due - burst_tolerance(per_second));
 }
 
-std::optional<MonotonicTime> PermitSchedule::take(MonotonicTime earliest, double a_second,
+std::optional<MonotonicTime> PermitSchedule::take(MonotonicTime earliest, double per_second,
                                                   MonotonicTime latest) {
-  const MonotonicTime leaves = this->next(earliest, a_second);
-  if (leaves > latest) return std::nullopt;
-  this->due = std::max(this->due, leaves) + interval(a_second);
-  return leaves;
+  const MonotonicTime send_at = this->next(earliest, per_second);
+  if (send_at > latest) return std::nullopt;
+  this->next_due = std::max(this->next_due, send_at) + interval(per_second);
+  return send_at;
 }
 
-void PermitSchedule::speed_up(MonotonicTime now, double from_a_second, double to_a_second) {
-  if (this->due <= now) return;
-  const double ahead = to_seconds(this->due - now) * std::max(from_a_second, kLeastRate);
-  this->due = now + from_seconds(ahead / std::max(to_a_second, kLeastRate));
+void PermitSchedule::raise_rate(MonotonicTime now, double from_per_second, double to_per_second) {
+  if (this->next_due <= now) return;
+  const double permits_ahead =
+      to_seconds(this->next_due - now) * std::max(from_per_second, kMinPermitRate);
+  this->next_due = now + from_seconds(permits_ahead / std::max(to_per_second, kMinPermitRate));
 }
 
-void PermitSchedule::begin(MonotonicTime now, double a_second) {
-  this->due = now + burst(a_second) + interval(a_second);
+void PermitSchedule::reset(MonotonicTime now, double per_second) {
+  this->next_due = now + burst_tolerance(per_second) + interval(per_second);
 }
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/permit_schedule.hpp
+++ b/src/core/relay/permit_schedule.hpp
@@ -10,7 +10,7 @@
 
 /// An engine that is sent nothing cannot say that it takes more again: where it names nothing, or
 /// next to nothing, it is sent one request in ten seconds.
-constexpr double kLeastRate = 0.1;  // a second
+constexpr double kMinPermitRate = 0.1;  // a second
 
 /// Sends that may leave at once after a pause. Of the slack of five a window, what is left covers a
 /// change of the keeper.
@@ -22,20 +22,21 @@
  public:
   /// Asks for one send, which may wait for its time. @return when it may leave, unless that is
   /// after `latest`.
-  std::optional<MonotonicTime> take(MonotonicTime earliest, double a_second, MonotonicTime latest);
+  std::optional<MonotonicTime> take(MonotonicTime earliest, double per_second,
+                                    MonotonicTime latest);
 
   /// @return when the next send may leave.
-  MonotonicTime next(MonotonicTime now, double a_second) const;
+  MonotonicTime next(MonotonicTime now, double per_second) const;
 
   /// The engine takes more than before: what was given ahead of time takes that much less long.
-  void speed_up(MonotonicTime now, double from_a_second, double to_a_second);
+  void raise_rate(MonotonicTime now, double from_per_second, double to_per_second);
 
   /// Begins anew without a burst: what was given before, by another keeper or at a higher rate,
   /// does not add up with what comes.
-  void begin(MonotonicTime now, double a_second);
+  void reset(MonotonicTime now, double per_second);
 
  private:
-  MonotonicTime due{};  ///< Of the next permit, at a rate without bursts.
+  MonotonicTime next_due{};  ///< Of the next permit, at a rate without bursts.
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/placement.cpp
+++ b/src/core/relay/placement.cpp
@@ -12,22 +12,23 @@
 bool is_candidate(MonotonicTime now, const EngineView& engine, const PlacementQuery& query) {
   const EngineRecord& record = engine.record;
   if (!engine.takes_requests(now) || record.stage != query.stage) return false;
-  if (listed(query.avoid, record.id)) return false;
-  if (query.apart_from != nullptr && query.apart_from->count(engine.key) > 0) return false;
-  return query.max_connections_here == 0 || engine.in_flight < query.max_connections_here;
+  if (listed(query.excluded_engines, record.id)) return false;
+  if (query.crash_risk_engines != nullptr && query.crash_risk_engines->count(engine.key) > 0)
+    return false;
+  return query.max_connections_per_node == 0 || engine.in_flight < query.max_connections_per_node;
 }
 
 /// The engines that may be chosen; those that are avoided for their failures only when no other is
 /// left.
 std::vector<EngineView*> candidates(MonotonicTime now, EngineDirectory& engines,
                                     const PlacementQuery& query) {
-  std::vector<EngineView*> sound;
+  std::vector<EngineView*> healthy;
   std::vector<EngineView*> avoided;
   for (EngineView* engine : engines.of_service(query.service->name)) {
     if (!is_candidate(now, *engine, query)) continue;
-    (engine->avoided_until > now ? avoided : sound).push_back(engine);
+    (engine->avoided_until > now ? avoided : healthy).push_back(engine);
   }
-  return sound.empty() ? avoided : sound;
+  return healthy.empty() ? avoided : healthy;
 }
 
 double rendezvous_weight(std::uint64_t part, const EngineId& engine) {
@@ -35,7 +36,7 @@
 }
 
 /// @return the engine that all nodes take for the home of the prompt's shared part, or null.
-const EngineView* home_of(const std::vector<EngineView*>& engines, const PromptShape& prompt) {
+const EngineView* home_engine(const std::vector<EngineView*>& engines, const PromptShape& prompt) {
   const auto part = prompt.shared_part();
   if (!part || engines.empty()) return nullptr;
   return *std::max_element(engines.begin(), engines.end(),
@@ -46,7 +47,7 @@
 }
 
 /// @return tokens of the prompt that this node knows to be kept at an engine.
-std::uint64_t kept_at(const EngineView& engine, const PromptShape& prompt) {
+std::uint64_t cached_tokens_at(const EngineView& engine, const PromptShape& prompt) {
   return std::min(prompt.prompt_tokens, engine.cache.cached_tokens(prompt));
 }
 
@@ -59,15 +60,16 @@
 /// The engine that keeps most of a prompt, whatever its stage and load.
 struct FetchSource {
   const EngineView* engine = nullptr;
-  std::uint64_t kept = 0;
+  std::uint64_t cached = 0;
 };
 
-FetchSource best_source(MonotonicTime now, EngineDirectory& engines, const PlacementQuery& query) {
+FetchSource best_fetch_source(MonotonicTime now, EngineDirectory& engines,
+                              const PlacementQuery& query) {
   FetchSource best;
   for (const EngineView* engine : engines.of_service(query.service->name)) {
-    if (engine->avoided_until > now || listed(query.avoid, engine->record.id)) continue;
-    const std::uint64_t kept = kept_at(*engine, *query.prompt);
-    if (kept > best.kept) best = {engine, kept};
+    if (engine->avoided_until > now || listed(query.excluded_engines, engine->record.id)) continue;
+    const std::uint64_t cached = cached_tokens_at(*engine, *query.prompt);
+    if (cached > best.cached) best = {engine, cached};
   }
   return best;
 }
@@ -76,7 +78,7 @@
 struct PromptCosts {
   MonotonicTime now;
   const EngineModel& model;
-  double usual_unread_tokens;
+  double usual_prefill_tokens;
   bool deferred;  ///< The prompt waits behind all that can be answered in time.
 };
 
@@ -84,14 +86,14 @@
 double waiting_ms(const PromptCosts& costs, const EngineView& engine) {
   const bool prefill = engine.record.stage == EngineStage::kPrefill;
   auto all = static_cast<double>(engine.unread_tokens);
-  auto behind = static_cast<double>(engine.deferred_tokens);
+  auto deferred_work = static_cast<double>(engine.deferred_tokens);
   if (engine.peers) {
-    all += static_cast<double>(engine.peers->unread_tokens);
-    behind += static_cast<double>(engine.peers->deferred_tokens);
+    all += static_cast<double>(engine.peers->prefill_tokens);
+    deferred_work += static_cast<double>(engine.peers->deferred_tokens);
   } else if (prefill) {
-    all += engine.others_there(costs.now) * costs.usual_unread_tokens;
+    all += engine.others_there(costs.now) * costs.usual_prefill_tokens;
   }
-  const double ahead = costs.deferred ? all : std::max(0.0, all - behind);
+  const double ahead = costs.deferred ? all : std::max(0.0, all - deferred_work);
   const ReadingModel& reading = costs.model.reading();
   if (!prefill) return costs.model.decode_read_ms(ahead) - reading.setup_ms();
   const double share = all > 0 ? ahead / all : 1;
@@ -99,7 +101,7 @@
 }
 
 /// @return a number from 0 to 1 that differs from prompt to prompt and from engine to engine.
-double lot(const PromptShape& prompt, const EngineView& engine) {
+double jitter_fraction(const PromptShape& prompt, const EngineView& engine) {
   if (prompt.parts.empty()) return 0;
   return hash_fraction(engine.record.id.value(), prompt.parts.back().id);
 }
@@ -107,8 +109,8 @@
 /// All nodes see the same engine idle until the next view. By so much, in milliseconds, the costs
 /// are varied by lot: about the work that busy engines get within the age of a view, and nothing
 /// where engines stand idle.
-double herd_spread_ms(const PromptCosts& costs, const EngineDirectory& engines,
-                      const std::vector<EngineView*>& candidates) {
+double jitter_range_ms(const PromptCosts& costs, const EngineDirectory& engines,
+                       const std::vector<EngineView*>& candidates) {
   const double age_ms = to_ms(engines.shared_view_age());
   if (age_ms <= 0 || candidates.empty()) return 0;
   double waiting = 0;
@@ -117,34 +119,37 @@
 }
 
 /// A batch that is nearly full costs as much as reading a usual prompt, a full one many times that.
-double crowding_ms(const PromptCosts& costs, const EngineView& engine) {
+double batch_fill_penalty_ms(const PromptCosts& costs, const EngineView& engine) {
   constexpr double kFullBatch = 20;
-  const double usual_ms = costs.model.reading().read_ms(costs.usual_unread_tokens);
+  const double usual_ms = costs.model.reading().read_ms(costs.usual_prefill_tokens);
   const double fill = engine.requests_there(costs.now) / std::max(1U, engine.record.slots);
   return usual_ms * (fill < 1 ? fill : kFullBatch * fill);
 }
 
 /// @return milliseconds until the engine will have read a prompt that is sent there now.
-double reading_wait_ms(const PromptCosts& costs, const EngineView& engine, std::uint64_t unread) {
-  const auto tokens = static_cast<double>(unread);
+double reading_wait_ms(const PromptCosts& costs, const EngineView& engine,
+                       std::uint64_t prefill_tokens) {
+  const auto tokens = static_cast<double>(prefill_tokens);
   const bool prefill = engine.record.stage == EngineStage::kPrefill;
-  const double reading =
+  const double reading_ms =
       prefill ? costs.model.reading().read_ms(tokens) : costs.model.decode_read_ms(tokens);
-  return waiting_ms(costs, engine) + reading;
+  return waiting_ms(costs, engine) + reading_ms;
 }
 
 /// @return what speaks against an engine whose streams are many or slow, in milliseconds.
-double busy_streams_ms(const PromptCosts& costs, const EngineView& engine) {
+double stream_slowdown_ms(const PromptCosts& costs, const EngineView& engine) {
   if (engine.record.stage == EngineStage::kPrefill) return 0;
   const double free_pace = costs.model.free_pace_ms();
-  return crowding_ms(costs, engine) + engine.recent_pace_ms(costs.now, free_pace) - free_pace;
+  return batch_fill_penalty_ms(costs, engine) + engine.recent_pace_ms(costs.now, free_pace) -
+         free_pace;
 }
 
-double plain_cost(MonotonicTime now, const EngineView& engine, const PlacementSettings& settings) {
-  const double each = engine.latency_ms > 0 ? engine.latency_ms : settings.plain_request_ms;
+double plain_cost_ms(MonotonicTime now, const EngineView& engine,
+                     const PlacementSettings& settings) {
+  const double request_ms = engine.latency_ms > 0 ? engine.latency_ms : settings.default_request_ms;
   const double slots = std::max(1U, engine.record.slots);
-  const double there = engine.requests_there(now);
-  return each * (1 + there / slots + std::max(0.0, there + 1 - slots));
+  const double running = engine.requests_there(now);
+  return request_ms * (1 + running / slots + std::max(0.0, running + 1 - slots));
 }
 
 /// Fills in what a model engine would have to read, fetching parts where that is quicker.
@@ -153,31 +158,33 @@
                   Placement& placement) {
   const PromptShape& prompt = *query.prompt;
   const EngineModel& model = costs.model;
-  const std::uint64_t kept = kept_at(engine, prompt);
-  std::uint64_t assumed = kept;
+  const std::uint64_t cached = cached_tokens_at(engine, prompt);
+  std::uint64_t assumed_cached = cached;
   // After a restart, the prefill engine that is the home of a part which no engine is known to keep
   // most likely keeps it.
-  const bool first_reading = home && source.kept == 0;
-  const bool may_keep_more = query.engines_may_keep_more && query.stage == EngineStage::kPrefill;
-  if (first_reading && may_keep_more) assumed = std::max(kept, shared_tokens(prompt));
-  placement.unread_tokens = prompt.prompt_tokens - assumed;
-  placement.expected_ms = reading_wait_ms(costs, engine, placement.unread_tokens);
-  placement.cost_ms = placement.expected_ms + busy_streams_ms(costs, engine);
+  const bool uncached_at_home = home && source.cached == 0;
+  const bool may_have_cached_more =
+      query.cache_view_incomplete && query.stage == EngineStage::kPrefill;
+  if (uncached_at_home && may_have_cached_more)
+    assumed_cached = std::max(cached, shared_tokens(prompt));
+  placement.prefill_tokens = prompt.prompt_tokens - assumed_cached;
+  placement.expected_ms = reading_wait_ms(costs, engine, placement.prefill_tokens);
+  placement.cost_ms = placement.expected_ms + stream_slowdown_ms(costs, engine);
   if (home) {
     placement.cost_ms -= settings.home_share * static_cast<double>(shared_tokens(prompt)) *
                          model.reading().token_ms();
   }
   const bool useful = source.engine != nullptr && source.engine != &engine &&
-                      source.kept >= kept + settings.least_fetched_tokens;
+                      source.cached >= cached + settings.min_fetch_tokens;
   if (!useful || !query.service->model) return;
-  const std::uint64_t saved = source.kept - kept;
-  const std::uint64_t unread = prompt.prompt_tokens - source.kept;
-  const double moving = model.fetch_setup_ms() + query.service->model->move_ms(saved);
-  const double reading = static_cast<double>(saved) * model.reading().token_ms();
-  if (moving >= reading) return;
-  placement.unread_tokens = unread;
-  placement.expected_ms += moving - reading;
-  placement.cost_ms += moving - reading;
+  const std::uint64_t saved = source.cached - cached;
+  const std::uint64_t prefill_tokens = prompt.prompt_tokens - source.cached;
+  const double fetch_ms = model.fetch_setup_ms() + query.service->model->transfer_ms(saved);
+  const double reading_ms = static_cast<double>(saved) * model.reading().token_ms();
+  if (fetch_ms >= reading_ms) return;
+  placement.prefill_tokens = prefill_tokens;
+  placement.expected_ms += fetch_ms - reading_ms;
+  placement.cost_ms += fetch_ms - reading_ms;
   placement.fetch_from = source.engine->record.id;
 }
 
@@ -185,33 +192,34 @@
 
 std::optional<Placement> place(MonotonicTime now, EngineDirectory& engines,
                                const PlacementQuery& query, const PlacementSettings& settings) {
-  const auto sound = candidates(now, engines, query);
-  const EngineView* home = query.prompt != nullptr ? home_of(sound, *query.prompt) : nullptr;
+  const auto usable = candidates(now, engines, query);
+  const EngineView* home = query.prompt != nullptr ? home_engine(usable, *query.prompt) : nullptr;
   const FetchSource source =
-      query.prompt != nullptr ? best_source(now, engines, query) : FetchSource{};
+      query.prompt != nullptr ? best_fetch_source(now, engines, query) : FetchSource{};
   const PromptCosts costs{now, std::as_const(engines).model_of(query.service->name),
                           engines.usual_unread_tokens(), query.deferred};
-  const double spread_ms = query.prompt != nullptr ? herd_spread_ms(costs, engines, sound) : 0;
+  const double max_jitter_ms =
+      query.prompt != nullptr ? jitter_range_ms(costs, engines, usable) : 0;
   std::optional<Placement> best;
-  for (const EngineView* engine : sound) {
+  for (const EngineView* engine : usable) {
     Placement placement;
     placement.engine = engine->record.id;
-    placement.candidates = sound.size();
+    placement.candidates = usable.size();
     if (query.prompt != nullptr) {
       place_prompt(costs, *engine, query, settings, engine == home, source, placement);
-      placement.cost_ms += spread_ms * lot(*query.prompt, *engine);
+      placement.cost_ms += max_jitter_ms * jitter_fraction(*query.prompt, *engine);
     } else {
-      placement.expected_ms = plain_cost(now, *engine, settings);
+      placement.expected_ms = plain_cost_ms(now, *engine, settings);
       placement.cost_ms = placement.expected_ms;
     }
     const double permit_ms = to_ms(engine->permit_wait(now));
     placement.expected_ms += permit_ms;
     placement.cost_ms += permit_ms;
-    if (permit_ms > 0 && placement.expected_ms > query.most_expected_ms) continue;
-    placement.cost_ms += engine->failure_share * settings.failure_cost_ms;
-    if (engine->record.zone != query.zone) placement.cost_ms += settings.other_zone_ms;
-    if (query.may_end_engine) {
-      placement.cost_ms += settings.bystander_ms * engine->requests_there(now);
+    if (permit_ms > 0 && placement.expected_ms > query.max_expected_ms) continue;
+    placement.cost_ms += engine->failure_share * settings.failure_penalty_ms;
+    if (engine->record.zone != query.zone) placement.cost_ms += settings.cross_zone_penalty_ms;
+    if (query.may_crash_engine) {
+      placement.cost_ms += settings.collateral_penalty_ms * engine->requests_there(now);
     }
     if (!best || placement.cost_ms < best->cost_ms) best = placement;
   }
--- a/src/core/relay/prompt_cache_view.cpp
+++ b/src/core/relay/prompt_cache_view.cpp
@@ -13,10 +13,10 @@
 std::uint64_t PromptCacheView::cached_tokens(const PromptShape& prompt) const {
   std::uint64_t cached = 0;
   for (const PromptPart& part : prompt.parts) {
-    const auto kept = parts_.find(part.id);
-    if (kept == parts_.end()) break;
-    cached += std::min(kept->second.tokens, part.tokens);
-    if (kept->second.tokens < part.tokens) break;
+    const auto cached_part = parts_.find(part.id);
+    if (cached_part == parts_.end()) break;
+    cached += std::min(cached_part->second.tokens, part.tokens);
+    if (cached_part->second.tokens < part.tokens) break;
   }
   return cached;
 }
@@ -24,18 +24,19 @@
 void PromptCacheView::on_read(const std::vector<PromptPart>& parts, std::uint64_t capacity,
                               MonotonicTime now) {
   for (const PromptPart& part : parts) {
-    Kept& kept = parts_[part.id];
-    tokens_ += std::max(part.tokens, kept.tokens) - kept.tokens;
-    kept.tokens = std::max(part.tokens, kept.tokens);
-    kept.used = now;
+    CachedPart& cached_part = parts_[part.id];
+    total_tokens_ += std::max(part.tokens, cached_part.tokens) - cached_part.tokens;
+    cached_part.tokens = std::max(part.tokens, cached_part.tokens);
+    cached_part.last_used = now;
   }
-  if (capacity > 0 && tokens_ > capacity) evict(capacity);
+  if (capacity > 0 && total_tokens_ > capacity) evict(capacity);
 }
 
-std::vector<PromptPart> PromptCacheView::kept() const {
+std::vector<PromptPart> PromptCacheView::cached_parts() const {
   std::vector<std::pair<MonotonicTime, PromptPart>> order;
   order.reserve(parts_.size());
-  for (const auto& [id, kept] : parts_) order.push_back({kept.used, {id, kept.tokens}});
+  for (const auto& [id, cached_part] : parts_)
+    order.push_back({cached_part.last_used, {id, cached_part.tokens}});
   std::sort(order.begin(), order.end(), [](const auto& left, const auto& right) {
     return std::pair(left.first, left.second.id) < std::pair(right.first, right.second.id);
   });
@@ -48,13 +49,13 @@
 void PromptCacheView::evict(std::uint64_t capacity) {
   std::vector<std::pair<MonotonicTime, std::uint64_t>> order;
   order.reserve(parts_.size());
-  for (const auto& [id, kept] : parts_) order.emplace_back(kept.used, id);
+  for (const auto& [id, cached_part] : parts_) order.emplace_back(cached_part.last_used, id);
   std::sort(order.begin(), order.end());
   // Some room at once, so that this is not done for each request.
-  const std::uint64_t wanted = capacity - capacity / 8;
-  for (const auto& [used, id] : order) {
-    if (tokens_ <= wanted) return;
-    tokens_ -= parts_[id].tokens;
+  const std::uint64_t target_tokens = capacity - capacity / 8;
+  for (const auto& [last_used, id] : order) {
+    if (total_tokens_ <= target_tokens) return;
+    total_tokens_ -= parts_[id].tokens;
     parts_.erase(id);
   }
 }
--- a/src/core/relay/prompt_cache_view.hpp
+++ b/src/core/relay/prompt_cache_view.hpp
@@ -23,7 +23,7 @@
 struct PromptShape {
   std::vector<PromptPart> parts;  ///< In order; the last is the request's own or its session's.
   std::uint64_t prompt_tokens = 0;
-  std::uint64_t most_output_tokens = 0;
+  std::uint64_t max_output_tokens = 0;
 
   /// @return the id of the deepest part that other requests may share, or nothing.
   std::optional<std::uint64_t> shared_part() const;
@@ -41,17 +41,17 @@
   bool empty() const { return parts_.empty(); }
 
   /// @return the parts, least recently used first.
-  std::vector<PromptPart> kept() const;
+  std::vector<PromptPart> cached_parts() const;
 
  private:
-  struct Kept {
+  struct CachedPart {
     std::uint64_t tokens = 0;
-    MonotonicTime used{};
+    MonotonicTime last_used{};
   };
   void evict(std::uint64_t capacity);
 
-  std::unordered_map<std::uint64_t, Kept> parts_;
-  std::uint64_t tokens_ = 0;
+  std::unordered_map<std::uint64_t, CachedPart> parts_;
+  std::uint64_t total_tokens_ = 0;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/request_identity.hpp
+++ b/src/core/relay/request_identity.hpp
@@ -15,14 +15,14 @@
 /// A short name for the address that a request comes from. It is no part of the identity: one
 /// caller has many addresses (in an incident each coming had another one). What engines end under
 /// from one address alone speaks against that address only; see `CrashLedger`.
-using CallerKey = std::uint32_t;
+using CallerAddressHash = std::uint32_t;
 
 /// A request, and whence the try came that is spoken of.
-struct TriedRequest {
+struct CallerRequest {
   RequestIdentity request;
-  CallerKey caller = 0;
+  CallerAddressHash caller = 0;
 
-  bool operator==(const TriedRequest&) const = default;
+  bool operator==(const CallerRequest&) const = default;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/retry_budget.cpp
+++ b/src/core/relay/retry_budget.cpp
@@ -7,16 +7,16 @@
 
 RetryBudget::Slot& RetryBudget::slot_at(MonotonicTime now) {
   const auto size = static_cast<std::int64_t>(slots_.size());
-  const std::int64_t number = now.time_since_epoch() / (settings_.window / kSlotsAWindow);
+  const std::int64_t number = now.time_since_epoch() / (settings_.window / kSlotsPerWindow);
   // All slots that time has passed over are empty.
-  newest_ = std::max(newest_, number - size);
-  while (newest_ < number) slots_[static_cast<std::size_t>(++newest_ % size)] = {};
-  return slots_[static_cast<std::size_t>(newest_ % size)];
+  newest_slot_ = std::max(newest_slot_, number - size);
+  while (newest_slot_ < number) slots_[static_cast<std::size_t>(++newest_slot_ % size)] = {};
+  return slots_[static_cast<std::size_t>(newest_slot_ % size)];
 }
 
 const RetryBudget::Slot& RetryBudget::slot_before(std::int64_t slots) const {
   const auto size = static_cast<std::int64_t>(slots_.size());
-  return slots_[static_cast<std::size_t>((newest_ - slots + size) % size)];
+  return slots_[static_cast<std::size_t>((newest_slot_ - slots + size) % size)];
 }
 
 double RetryBudget::available(MonotonicTime now) {
@@ -25,17 +25,17 @@
   // spent since, and only of the requests since one window before is it sure that they count.
   double spent = 0;
   double requests = 0;
-  for (std::int64_t slots = 0; slots < kSlotsAWindow; ++slots) {
+  for (std::int64_t slots = 0; slots < kSlotsPerWindow; ++slots) {
     requests += slot_before(slots).requests;
   }
-  double least = std::numeric_limits<double>::infinity();
-  for (std::int64_t slots = 0; slots <= kSlotsHeld; ++slots) {
+  double min_available = std::numeric_limits<double>::infinity();
+  for (std::int64_t slots = 0; slots <= kChargeSlots; ++slots) {
     spent += slot_before(slots).spent;
-    if (slots > 0) requests += slot_before(slots + kSlotsAWindow - 1).requests;
-    least = std::min(least, settings_.ratio / 2 * requests - spent);
+    if (slots > 0) requests += slot_before(slots + kSlotsPerWindow - 1).requests;
+    min_available = std::min(min_available, settings_.ratio / 2 * requests - spent);
   }
-  const double slack = now >= share_.from ? share_.dispatches : 0;
-  return least + slack;
+  const double slack = now >= share_.valid_from ? share_.dispatches : 0;
+  return min_available + slack;
 }
 
 bool RetryBudget::try_spend(MonotonicTime now) {
--- a/src/core/relay/retry_budget.hpp
+++ b/src/core/relay/retry_budget.hpp
@@ -22,17 +22,17 @@
 
 /// An extra dispatch counts for a window and one part in so many more: it arrives later than the
 /// node counts it, by up to a second of ten where the node's link is full.
-constexpr std::int64_t kPartForArrival = 10;
+constexpr std::int64_t kArrivalMarginDivisor = 10;
 
 /// @return how long an extra dispatch counts.
-inline Duration counted_for(const RetryBudgetSettings& settings) {
-  return settings.window + settings.window / kPartForArrival;
+inline Duration charge_duration(const RetryBudgetSettings& settings) {
+  return settings.window + settings.window / kArrivalMarginDivisor;
 }
 
 /// What one node may spend of the slack.
 struct SlackShare {
-  double dispatches = 0;  ///< In any window.
-  MonotonicTime from{};   ///< Not before.
+  double dispatches = 0;       ///< In any window.
+  MonotonicTime valid_from{};  ///< Not before.
 
   bool operator==(const SlackShare&) const = default;
 };
@@ -67,8 +67,9 @@
 
  private:
   /// Counts are kept by slots of time: 50 a window round it by 2 in 100 to the safe side, in 1 KB.
-  static constexpr std::int64_t kSlotsAWindow = 50;
-  static constexpr std::int64_t kSlotsHeld = kSlotsAWindow + kSlotsAWindow / kPartForArrival;
+  static constexpr std::int64_t kSlotsPerWindow = 50;
+  static constexpr std::int64_t kChargeSlots =
+      kSlotsPerWindow + kSlotsPerWindow / kArrivalMarginDivisor;
 
   struct Slot {
     std::uint32_t requests = 0;
@@ -80,8 +81,8 @@
 
   RetryBudgetSettings settings_;
   SlackShare share_;
-  std::array<Slot, kSlotsHeld + kSlotsAWindow> slots_{};  ///< A ring by number of the slot.
-  std::int64_t newest_ = 0;                               ///< Number of the newest slot.
+  std::array<Slot, kChargeSlots + kSlotsPerWindow> slots_{};  ///< A ring by number of the slot.
+  std::int64_t newest_slot_ = 0;                              ///< Number of the newest slot.
 };
 
 /// The budgets of one node, a service each. They share the slack's share, as the bound holds for
--- a/src/core/relay/routes.cpp
+++ b/src/core/relay/routes.cpp
@@ -27,7 +27,7 @@
     findings.add(place + "/path_prefix", "must begin and end with a slash");
   }
   if (route.split.empty()) findings.add(place + "/split", "must name a service");
-  double total = 0;
+  double total_weight = 0;
   for (std::size_t i = 0; i < route.split.size(); ++i) {
     const SplitPart& part = route.split[i];
     const std::string part_place = place + "/split/" + std::to_string(i);
@@ -35,9 +35,10 @@
       findings.add(part_place, "service '" + part.service.value() + "' is not declared");
     }
     if (part.weight < 0) findings.add(part_place, "the weight must not be negative");
-    total += part.weight;
+    total_weight += part.weight;
   }
-  if (!route.split.empty() && total <= 0) findings.add(place + "/split", "no part has a weight");
+  if (!route.split.empty() && total_weight <= 0)
+    findings.add(place + "/split", "no part has a weight");
   if (route.max_attempts == 0) findings.add(place + "/max_attempts", "must be 1 or more");
   if (route.timeout <= Duration::zero()) findings.add(place + "/timeout", "must be above 0");
   if (route.resumable && route.kind != RouteKind::kStream) {
@@ -47,7 +48,7 @@
 
 }  // namespace
 
-double ModelServing::move_ms(std::uint64_t tokens) const {
+double ModelServing::transfer_ms(std::uint64_t tokens) const {
   const double bits = static_cast<double>(tokens * kv_token_bytes) * 8;
   const double bits_per_ms = std::max(1.0, link_megabits_per_second * 1000);
   return bits / bits_per_ms;
@@ -62,12 +63,12 @@
     if (name.empty()) findings.add(place, "must not be empty");
     if (!services.insert(name).second) findings.add(place, "'" + name + "' is declared twice");
   }
-  std::set<std::pair<std::string, std::string>> taken;
+  std::set<std::pair<std::string, std::string>> seen;
   for (std::size_t i = 0; i < configuration.routes.size(); ++i) {
     const Route& route = configuration.routes[i];
     const std::string place = "routes/" + std::to_string(i);
     check_route(route, services, place, findings);
-    if (!taken.emplace(normalized_host(route.host), route.path_prefix).second) {
+    if (!seen.emplace(normalized_host(route.host), route.path_prefix).second) {
       findings.add(place, "host and path prefix are those of an earlier route");
     }
   }
@@ -92,8 +93,8 @@
   for (std::size_t i = 0; i < configuration_.services.size(); ++i) {
     const auto& scale = configuration_.services[i].scale;
     if (!scale || scale->least <= scale->most) continue;
-    doubts_.add("services/" + std::to_string(i) + "/scale",
-                "the least count passes the most: no engines are ordered");
+    warnings_.add("services/" + std::to_string(i) + "/scale",
+                  "the least count passes the most: no engines are ordered");
   }
 }
 
@@ -102,12 +103,12 @@
     const DeclaredTenant& tenant = tenants[i];
     const std::string place = "tenants/" + std::to_string(i);
     if (!tenants_.emplace(tenant.name, &tenant).second) {
-      doubts_.add(place + "/name", "'" + tenant.name.value() + "' is declared twice");
+      warnings_.add(place + "/name", "'" + tenant.name.value() + "' is declared twice");
     }
-    if (tenant.keys.empty()) doubts_.add(place + "/keys", "is empty: nobody can call for it");
+    if (tenant.keys.empty()) warnings_.add(place + "/keys", "is empty: nobody can call for it");
     for (std::size_t k = 0; k < tenant.keys.size(); ++k) {
       if (keys_.add(tenant.name, tenant.keys[k])) continue;
-      doubts_.add(place + "/keys/" + std::to_string(k), "is held twice: it is good for nobody");
+      warnings_.add(place + "/keys/" + std::to_string(k), "is held twice: it is good for nobody");
     }
   }
 }
@@ -116,7 +117,7 @@
                              std::int64_t unix_seconds) const {
   if (!configuration_.tenants) return {true, nullptr};
   const TenantName* owner = key.empty() ? nullptr : keys_.find(key, unix_seconds);
-  if (owner == nullptr) return {route.open, nullptr};
+  if (owner == nullptr) return {route.allows_anonymous, nullptr};
   return {true, tenants_.at(*owner)};
 }
 
@@ -140,20 +141,20 @@
 
 const ServiceName& SplitChooser::choose(const Route& route) {
   if (route.split.size() == 1) return route.split.front().service;
-  double total = 0;
-  for (const SplitPart& part : route.split) total += part.weight;
+  double total_weight = 0;
+  for (const SplitPart& part : route.split) total_weight += part.weight;
   auto& credit = credit_[route.name];
   if (credit.size() != route.split.size()) {
     credit.assign(route.split.size(), 0);
-    credit.front() = offset_ * total;
-    credit.back() -= offset_ * total;
+    credit.front() = offset_ * total_weight;
+    credit.back() -= offset_ * total_weight;
   }
   std::size_t best = 0;
   for (std::size_t i = 0; i < credit.size(); ++i) {
     credit[i] += route.split[i].weight;
     if (credit[i] > credit[best]) best = i;
   }
-  credit[best] -= total;
+  credit[best] -= total_weight;
   return route.split[best].service;
 }
 
--- a/src/core/relay/routes.hpp
+++ b/src/core/relay/routes.hpp
@@ -45,8 +45,8 @@
   Duration gap_target = Duration::zero();        ///< Longest pause between events; zero: unset.
   int priority = 0;                              ///< 0 is the most urgent.
   bool affinity = false;                         ///< Requests carry the parts of their prompt.
-  bool resumable = false;  ///< A broken stream may be taken up at another engine.
-  bool open = false;       ///< Takes requests without a tenant's key.
+  bool resumable = false;         ///< A broken stream may be taken up at another engine.
+  bool allows_anonymous = false;  ///< Takes requests without a tenant's key.
 
   /// @return whether a request may run more than once.
   bool idempotent() const {
@@ -60,11 +60,11 @@
   std::uint64_t kv_tokens = 0;       ///< Memory of an engine, in tokens.
   std::uint64_t kv_token_bytes = 0;  ///< Moved for each token of a prompt.
   double link_megabits_per_second = 0;
-  Duration handle_lifetime = std::chrono::seconds(5);  ///< Of a prompt that was read ahead.
+  Duration prefill_handle_lifetime = std::chrono::seconds(5);  ///< Of a prompt that was read ahead.
   Duration role_change_time = std::chrono::seconds(2);
 
   /// @return milliseconds that the bytes of so many tokens take on an engine's link.
-  double move_ms(std::uint64_t tokens) const;
+  double transfer_ms(std::uint64_t tokens) const;
 };
 
 /// A declared service.
@@ -119,7 +119,7 @@
 
   /// @return what an operator hardly means, with its place. It is no reason to serve on by an older
   /// version: that would keep keys in force which were taken away.
-  const Findings& doubts() const { return doubts_; }
+  const Findings& warnings() const { return warnings_; }
 
   /// @return the route of that host with the longest prefix that begins the path, or null.
   const Route* find(std::string_view host, std::string_view path) const;
@@ -137,7 +137,7 @@
   void index_tenants(const std::vector<DeclaredTenant>& tenants);
 
   RouteConfiguration configuration_;
-  Findings doubts_;
+  Findings warnings_;
   /// Routes of each host, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route*>> by_host_;
   KeyIndex keys_;
--- a/src/core/relay/stage_planner.cpp
+++ b/src/core/relay/stage_planner.cpp
@@ -7,52 +7,55 @@
 
 std::optional<StageChange> StagePlanner::next(MonotonicTime now, EngineDirectory& engines,
                                               const RouteTable& table) {
-  if (!first_engines_) note_first_engines(engines);
-  const bool new_batch = !batch_began_ || now - *batch_began_ >= settings_.between_batches;
-  const bool batch_open = new_batch || batch_left_ > 0;
+  if (!initial_engines_) record_initial_engines(engines);
+  const bool new_batch = !batch_started_at_ || now - *batch_started_at_ >= settings_.batch_interval;
+  const bool batch_open = new_batch || batch_remaining_ > 0;
   for (const RelayedService& service : table.configuration().services) {
     if (!service.model) continue;
-    auto change = next_for(now, engines, service, batch_open);
+    auto change = next_for_service(now, engines, service, batch_open);
     if (!change) continue;
-    given_[change->engine] = {change->stage, now};
-    if (newcomer(now, *engines.find(change->engine))) return change;
+    issued_orders_[change->engine] = {change->stage, now};
+    if (is_idle_newcomer(now, *engines.find(change->engine))) return change;
     if (new_batch) {
-      batch_began_ = now;
-      batch_left_ = batch_size(engines, service);
+      batch_started_at_ = now;
+      batch_remaining_ = batch_size(engines, service);
     }
-    --batch_left_;
+    --batch_remaining_;
     return change;
   }
   return std::nullopt;
 }
 
-void StagePlanner::note_first_engines(const EngineDirectory& engines) {
+void StagePlanner::record_initial_engines(const EngineDirectory& engines) {
   if (engines.size() == 0) return;
-  first_engines_.emplace();
-  for (const auto& [id, engine] : engines.all()) first_engines_->insert(id);
+  initial_engines_.emplace();
+  for (const auto& [id, engine] : engines.all()) initial_engines_->insert(id);
 }
 
 /// @return whether the engine has come since planning began and nobody has a use for it yet.
-bool StagePlanner::newcomer(MonotonicTime now, const EngineView& engine) const {
-  const bool first = !first_engines_ || first_engines_->count(engine.record.id) > 0;
-  return !first && engine.requests_there(now) < 0.5 && engine.cache.empty();
+bool StagePlanner::is_idle_newcomer(MonotonicTime now, const EngineView& engine) const {
+  const bool initial = !initial_engines_ || initial_engines_->count(engine.record.id) > 0;
+  return !initial && engine.requests_there(now) < 0.5 && engine.cache.empty();
 }
 
 std::size_t StagePlanner::batch_size(EngineDirectory& engines,
                                      const RelayedService& service) const {
-  const auto all = static_cast<double>(engines.of_service(service.name).size());
-  return std::max<std::size_t>(1, static_cast<std::size_t>(all * settings_.share_at_once));
+  const auto engine_count = static_cast<double>(engines.of_service(service.name).size());
+  return std::max<std::size_t>(1,
+                               static_cast<std::size_t>(engine_count * settings_.max_batch_share));
 }
 
 EngineStage StagePlanner::expected_stage(MonotonicTime now, const EngineRecord& record) const {
-  const auto given = given_.find(record.id);
-  const bool under_way =
-      given != given_.end() && now - given->second.at < settings_.not_again_within;
-  return under_way ? given->second.stage : record.stage;
+  const auto order = issued_orders_.find(record.id);
+  const bool in_progress =
+      order != issued_orders_.end() && now - order->second.issued_at < settings_.engine_cooldown;
+  return in_progress ? order->second.stage : record.stage;
 }
 
-std::optional<StageChange> StagePlanner::next_for(MonotonicTime now, EngineDirectory& engines,
-                                                  const RelayedService& service, bool batch_open) {
+std::optional<StageChange> StagePlanner::next_for_service(MonotonicTime now,
+                                                          EngineDirectory& engines,
+                                                          const RelayedService& service,
+                                                          bool batch_open) {
   std::vector<EngineView*> prefill;
   std::vector<EngineView*> decode;
   for (EngineView* engine : engines.of_service(service.name)) {
@@ -60,25 +63,27 @@
     (expected_stage(now, engine->record) == EngineStage::kPrefill ? prefill : decode)
         .push_back(engine);
   }
-  const auto all = prefill.size() + decode.size();
-  const auto wanted =
-      static_cast<std::size_t>(std::lround(static_cast<double>(all) * settings_.prefill_share));
+  const auto engine_count = prefill.size() + decode.size();
+  const auto wanted = static_cast<std::size_t>(
+      std::lround(static_cast<double>(engine_count) * settings_.prefill_share));
   if (prefill.size() == wanted) return std::nullopt;
   const bool more_prefill = prefill.size() < wanted;
-  if (more_prefill && decode.size() <= settings_.least_decode) return std::nullopt;
-  auto& from = more_prefill ? decode : prefill;
-  std::erase_if(from, [&](const EngineView* engine) {
-    if (!batch_open && !newcomer(now, *engine)) return true;
-    const auto given = given_.find(engine->record.id);
-    return given != given_.end() && now - given->second.at < settings_.not_again_within;
+  if (more_prefill && decode.size() <= settings_.min_decode_engines) return std::nullopt;
+  auto& sources = more_prefill ? decode : prefill;
+  std::erase_if(sources, [&](const EngineView* engine) {
+    if (!batch_open && !is_idle_newcomer(now, *engine)) return true;
+    const auto order = issued_orders_.find(engine->record.id);
+    return order != issued_orders_.end() &&
+           now - order->second.issued_at < settings_.engine_cooldown;
   });
-  if (from.empty()) return std::nullopt;
-  const auto least = std::min_element(from.begin(), from.end(), [&](auto* left, auto* right) {
-    const bool left_newcomer = newcomer(now, *left);
-    if (left_newcomer != newcomer(now, *right)) return left_newcomer;
-    return left->requests_there(now) < right->requests_there(now);
-  });
-  return StageChange{(*least)->record.id,
+  if (sources.empty()) return std::nullopt;
+  const auto least_loaded =
+      std::min_element(sources.begin(), sources.end(), [&](auto* left, auto* right) {
+        const bool left_newcomer = is_idle_newcomer(now, *left);
+        if (left_newcomer != is_idle_newcomer(now, *right)) return left_newcomer;
+        return left->requests_there(now) < right->requests_there(now);
+      });
+  return StageChange{(*least_loaded)->record.id,
                      more_prefill ? EngineStage::kPrefill : EngineStage::kDecode};
 }
 
--- a/src/core/relay/stage_planner.hpp
+++ b/src/core/relay/stage_planner.hpp
@@ -15,12 +15,12 @@
 /// Tunables of the planner.
 struct StagePlannerSettings {
   double prefill_share = 0.56;  ///< Of a service's engines.
-  std::uint32_t least_decode = 2;
-  Duration between_batches = std::chrono::seconds(3);  ///< From one batch's begin to the next.
+  std::uint32_t min_decode_engines = 2;
+  Duration batch_interval = std::chrono::seconds(3);  ///< From one batch's begin to the next.
   /// Of a service's engines, ordered in one batch; one at least. Engines that have come since and
   /// hold nothing yet need not wait for a batch: nobody misses them.
-  double share_at_once = 0.1;
-  Duration not_again_within = std::chrono::seconds(12);  ///< For one engine.
+  double max_batch_share = 0.1;
+  Duration engine_cooldown = std::chrono::seconds(12);  ///< For one engine.
 };
 
 /// An order to give.
@@ -39,26 +39,26 @@
                                   const RouteTable& table);
 
  private:
-  std::optional<StageChange> next_for(MonotonicTime now, EngineDirectory& engines,
-                                      const RelayedService& service, bool batch_open);
-  bool newcomer(MonotonicTime now, const EngineView& engine) const;
-  void note_first_engines(const EngineDirectory& engines);
+  std::optional<StageChange> next_for_service(MonotonicTime now, EngineDirectory& engines,
+                                              const RelayedService& service, bool batch_open);
+  bool is_idle_newcomer(MonotonicTime now, const EngineView& engine) const;
+  void record_initial_engines(const EngineDirectory& engines);
   std::size_t batch_size(EngineDirectory& engines, const RelayedService& service) const;
 
   /// An order that was given, whether or not its effect shows yet.
-  struct GivenOrder {
+  struct IssuedOrder {
     EngineStage stage = EngineStage::kDecode;
-    MonotonicTime at{};
+    MonotonicTime issued_at{};
   };
 
   /// @return the stage that the engine has, or will have once its order is carried out.
   EngineStage expected_stage(MonotonicTime now, const EngineRecord& record) const;
 
   StagePlannerSettings settings_;
-  std::optional<MonotonicTime> batch_began_;
-  std::size_t batch_left_ = 0;  ///< Orders that the batch may still hold.
-  std::map<EngineId, GivenOrder> given_;
-  std::optional<std::set<EngineId>> first_engines_;  ///< That were there when planning began.
+  std::optional<MonotonicTime> batch_started_at_;
+  std::size_t batch_remaining_ = 0;  ///< Orders that the batch may still hold.
+  std::map<EngineId, IssuedOrder> issued_orders_;
+  std::optional<std::set<EngineId>> initial_engines_;  ///< That were there when planning began.
 };
 
 }  // namespace shuntbank::relay
--- a/src/protocol/configuration_message.cpp
+++ b/src/protocol/configuration_message.cpp
@@ -41,7 +41,7 @@
           {"priority", route.priority},
           {"affinity", route.affinity},
           {"resumable", route.resumable},
-          {"open", route.open}};
+          {"open", route.allows_anonymous}};
 }
 
 RouteKind kind_of(int number) {
@@ -66,7 +66,7 @@
   route.priority = object.at("priority").get<int>();
   route.affinity = object.at("affinity").get<bool>();
   route.resumable = object.at("resumable").get<bool>();
-  route.open = object.at("open").get<bool>();
+  route.allows_anonymous = object.at("open").get<bool>();
   return route;
 }
 
@@ -75,7 +75,7 @@
           {"kv_tokens", model.kv_tokens},
           {"token_bytes", model.kv_token_bytes},
           {"link", model.link_megabits_per_second},
-          {"handle", micros(model.handle_lifetime)},
+          {"handle", micros(model.prefill_handle_lifetime)},
           {"change", micros(model.role_change_time)}};
 }
 
@@ -85,7 +85,7 @@
   model.kv_tokens = object.at("kv_tokens").get<std::uint64_t>();
   model.kv_token_bytes = object.at("token_bytes").get<std::uint64_t>();
   model.link_megabits_per_second = object.at("link").get<double>();
-  model.handle_lifetime = duration_of(object, "handle");
+  model.prefill_handle_lifetime = duration_of(object, "handle");
   model.role_change_time = duration_of(object, "change");
   return model;
 }
--- a/src/protocol/configuration_summary.cpp
+++ b/src/protocol/configuration_summary.cpp
@@ -46,7 +46,7 @@
   fields.add(static_cast<std::uint64_t>(route.priority));
   fields.add(std::uint64_t{route.affinity});
   fields.add(std::uint64_t{route.resumable});
-  fields.add(std::uint64_t{route.open});
+  fields.add(std::uint64_t{route.allows_anonymous});
   return fields.hash();
 }
 
--- a/src/protocol/crash_report_codec.cpp
+++ b/src/protocol/crash_report_codec.cpp
@@ -19,7 +19,7 @@
     reports.push_back({static_cast<relay::CrashNews>(news),
                        {entry.at(1).get<std::uint64_t>(), entry.at(2).get<std::uint64_t>()},
                        entry.at(3).get<relay::EngineKey>(),
-                       entry.at(4).get<relay::CallerKey>(),
+                       entry.at(4).get<relay::CallerAddressHash>(),
                        entry.at(5).get<std::uint32_t>()});
   }
   return reports;
--- a/src/protocol/load_digest.cpp
+++ b/src/protocol/load_digest.cpp
@@ -34,7 +34,7 @@
 
 std::size_t packed_size(const relay::PeerLoad& work) {
   constexpr std::size_t kKeyBytes = 5;
-  return kKeyBytes + packed_size(work.in_flight) + packed_size(work.unread_tokens) +
+  return kKeyBytes + packed_size(work.in_flight) + packed_size(work.prefill_tokens) +
          packed_size(work.deferred_tokens);
 }
 
@@ -54,7 +54,7 @@
   for (const auto& [key, work] : load) {
     numbers.push_back(key);
     numbers.push_back(work.in_flight);
-    numbers.push_back(work.unread_tokens);
+    numbers.push_back(work.prefill_tokens);
     numbers.push_back(work.deferred_tokens);
   }
   return numbers;
--- a/src/protocol/load_message.cpp
+++ b/src/protocol/load_message.cpp
@@ -77,7 +77,7 @@
 std::string encode(const LoadMessage& message) {
   json load = json::array();
   for (const auto& [engine, work] : message.load) {
-    json entry = {engine.value(), work.in_flight, work.unread_tokens};
+    json entry = {engine.value(), work.in_flight, work.prefill_tokens};
     if (work.deferred_tokens > 0) entry.push_back(work.deferred_tokens);
     load.push_back(std::move(entry));
   }
@@ -122,7 +122,7 @@
     for (const json& item : document.at("load")) {
       relay::PeerLoad& work = message.load[EngineId(item.at(0).get<std::string>())];
       work.in_flight = item.at(1).get<std::uint32_t>();
-      work.unread_tokens = item.at(2).get<std::uint64_t>();
+      work.prefill_tokens = item.at(2).get<std::uint64_t>();
       if (item.size() > 3) work.deferred_tokens = item.at(3).get<std::uint64_t>();
     }
     if (document.contains("seen")) {
--- a/src/relay/engine_permits.cpp
+++ b/src/relay/engine_permits.cpp
@@ -44,7 +44,7 @@
 void EnginePermits::connect(const NodeId& own_name, PermitPeers& others) {
   this->alone = false;
   this->self = own_name;
-  this->choice = KeeperChoice(own_name);
+  this->choice = LimitOwnerSelector(own_name);
   this->peers = &others;
   this->ticks = std::make_unique<Periodic>(this->io.runtime, kTick, [this] { this->tick(); });
 }
@@ -75,7 +75,7 @@
   for (const auto& [engine, view] : this->io.engines.all()) {
     if (!this->limited(engine)) continue;
     this->in_charge(engine, this->kept(engine));
-    for (const NodeId& node : this->choice.to_ask(now, engine)) {
+    for (const NodeId& node : this->choice.nodes_to_probe(now, engine)) {
       this->call(node, engine, 0, std::nullopt);
     }
   }
@@ -87,9 +87,9 @@
   const MonotonicTime now = this->io.runtime.now();
   // What was granted at a higher limit is void.
   if (!kept.a_second || named < *kept.a_second) {
-    kept.schedule.begin(now, named);
+    kept.schedule.reset(now, named);
   } else if (named > *kept.a_second) {
-    kept.schedule.speed_up(now, *kept.a_second, named);
+    kept.schedule.raise_rate(now, *kept.a_second, named);
   }
   kept.a_second = named;
   return kept;
@@ -100,18 +100,18 @@
   if (this->alone) return true;
   this->notice_standstill();
   if (this->peers == nullptr || !this->nodes_known ||
-      this->choice.keeper(now, engine) != this->self) {
+      this->choice.owner(now, engine) != this->self) {
     kept.in_charge_since.reset();
     return false;
   }
   if (!kept.in_charge_since) {
     // Who comes first has been in charge for as long as it has run.
-    kept.in_charge_since = this->choice.is_first(engine) ? this->calm_since : now;
-    kept.schedule.begin(now, *kept.a_second);
+    kept.in_charge_since = this->choice.is_preferred_owner(engine) ? this->calm_since : now;
+    kept.schedule.reset(now, *kept.a_second);
     log_event(LogArea::kControl, LogLevel::kInfo, "keeps_limit",
               {{"engine", engine.value()},
                {"a_second", *kept.a_second},
-               {"first", this->choice.is_first(engine)}});
+               {"first", this->choice.is_preferred_owner(engine)}});
   }
   return true;
 }
@@ -140,7 +140,7 @@
   if (auto permit = this->take_spare(engine, now + span.earliest)) {
     return handler(std::move(permit));
   }
-  const auto keeper = this->choice.keeper(now, engine);
+  const auto keeper = this->choice.owner(now, engine);
   const bool reached = this->peers != nullptr && this->nodes_known;
   if (reached && keeper && *keeper != this->self) {
     return this->ask_keeper(*keeper, engine, span, std::move(handler));
@@ -170,7 +170,7 @@
 void EnginePermits::call(const NodeId& node, const EngineId& engine, std::uint64_t number,
                          const std::optional<PermitSpan>& span) {
   if (this->peers == nullptr) return;
-  this->choice.on_asked(this->io.runtime.now(), node);
+  this->choice.on_request_sent(this->io.runtime.now(), node);
   PermitCall call;
   call.node = this->self;
   call.boot = this->boot;
@@ -200,7 +200,7 @@
 
 void EnginePermits::on_call(const PermitCall& call) {
   if (this->peers == nullptr) return;
-  this->choice.on_heard(call.node);
+  this->choice.on_message_received(call.node);
   this->take_limit(call.engine, call.limit);
   const MonotonicTime now = this->io.runtime.now();
   PermitAnswer answer;
@@ -223,7 +223,7 @@
 
 void EnginePermits::on_answer(const PermitAnswer& answer) {
   if (answer.boot != this->boot) return;
-  this->choice.on_heard(answer.node);
+  this->choice.on_message_received(answer.node);
   this->take_limit(answer.engine, answer.limit);
   const auto found = this->pending.find(answer.number);
   if (found == this->pending.end()) return;
@@ -235,7 +235,7 @@
   const bool knows = answer.verdict != PermitVerdict::kNotTheKeeper;
   this->io.metrics.count_permit(granted ? "granted" : knows ? "later" : "not_the_keeper");
   const Duration next =
-      knows ? std::chrono::milliseconds(answer.next_in_ms) : Duration(kAskKeeperAgain);
+      knows ? std::chrono::milliseconds(answer.next_in_ms) : Duration(kOwnerProbeInterval);
   this->io.engines.on_next_permit(answer.engine, now + next);
   if (!granted) return waiting.handler(std::nullopt);
   // The keeper counts from some moment between the call and its answer.
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -126,7 +126,7 @@
   bool alone = true;
   PermitPeers* peers = nullptr;
   bool nodes_known = false;
-  KeeperChoice choice{NodeId()};
+  LimitOwnerSelector choice{NodeId()};
   MonotonicTime calm_since{};  ///< This node has run without a break, and known the others.
   MonotonicTime looked_at{};
   std::unordered_map<EngineId, Kept> keeping;
--- a/src/relay/exchange_settings.hpp
+++ b/src/relay/exchange_settings.hpp
@@ -20,7 +20,7 @@
 
 /// Tunables of the exchange by zones.
 struct ZoneExchangeSettings {
-  CollectorChoiceSettings choice;
+  CollectorSelectorSettings choice;
   LoadCollectorSettings collector;
   /// Between two sums, as far as the collector's machine bears it. All nodes choose on the same
   /// view until the next one, so that its age is what sends them to the same engine: an overload at
@@ -40,7 +40,7 @@
   Duration answer_begins = std::chrono::seconds(1);
   /// A node that was not heard for so long is not asked: it may be dead, and a connection to it
   /// hang. Collectors leave it out of their sums as late.
-  Duration peer_life = LoadCollectorSettings{}.member_life;
+  Duration peer_life = LoadCollectorSettings{}.member_timeout;
 };
 
 /// Tunables of the exchange.
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -80,7 +80,7 @@
 
 double LoadExchange::share_heard() const {
   const MonotonicTime now = runtime_.now();
-  const Duration life = settings_.zones.collector.member_life;
+  const Duration life = settings_.zones.collector.member_timeout;
   std::size_t heard = 1;
   if (by_zones()) {
     if (now - zones_.view_at() <= life) heard = std::max(heard, zones_.nodes_seen());
@@ -154,7 +154,7 @@
 std::string LoadExchange::snapshot() const {
   CacheSnapshot snapshot;
   for (const auto& [id, engine] : node_.engines().all()) {
-    auto parts = engine.cache.kept();
+    auto parts = engine.cache.cached_parts();
     if (!parts.empty()) snapshot.kept.push_back({id, std::move(parts)});
   }
   std::string bytes = encode(snapshot);
@@ -203,7 +203,7 @@
   const std::uint64_t own = hash64(self_.value());
   const MonotonicTime now = runtime_.now();
   const auto before = std::count_if(heard_.begin(), heard_.end(), [&](const auto& peer) {
-    return now - peer.second.at <= settings_.zones.collector.member_life &&
+    return now - peer.second.at <= settings_.zones.collector.member_timeout &&
            hash64(peer.first.value()) < own;
   });
   return static_cast<std::size_t>(before) < settings_.readers;
--- a/src/relay/policy_options.cpp
+++ b/src/relay/policy_options.cpp
@@ -28,7 +28,7 @@
       "of reading the shared parts: how much sooner than their home another engine must be");
   add("pause-share", into(settings.prefill.pause_share),
       "of the longest pause in time: slower decode engines read no prompts; 0: never read there");
-  add("held-up-weight", into(settings.prefill.held_up_stream_weight),
+  add("held-up-weight", into(settings.prefill.stalled_stream_weight),
       "cost of reading at a decode engine, for each stream there");
   add("in-time-share", into(settings.prefill.in_time_share),
       "of the time to the objective: requests expected later are deferred; 1000: never");
@@ -38,7 +38,7 @@
       "peers up to which each node tells all others; with more, load is gathered by zones");
   add("collect-ms", milliseconds_into(settings.exchange.zones.collect_every),
       "between two sums of a zone's collector");
-  add("stages-at-once", into(settings.stages.share_at_once),
+  add("stages-at-once", into(settings.stages.max_batch_share),
       "of a service's engines that change their stage in one batch");
   add("buy", into(settings.capacity.planner.way),
       "how engines are ordered: none, spot-swap or spot-spare");
--- a/src/relay/quarantine.cpp
+++ b/src/relay/quarantine.cpp
@@ -44,7 +44,7 @@
   *this->alive = false;
 }
 
-CrashStanding Quarantine::standing(const TriedRequest& tried) const {
+CrashStanding Quarantine::standing(const CallerRequest& tried) const {
   return this->ledger.standing(this->io.runtime.now(), tried);
 }
 
@@ -82,7 +82,7 @@
   return !this->ledger.ended_before(sent_at, engine_key(engine));
 }
 
-void Quarantine::on_broken(const TriedRequest& tried, const EngineId& engine,
+void Quarantine::on_broken(const CallerRequest& tried, const EngineId& engine,
                            MonotonicTime sent_at) {
   if (!this->may_have_ended_it(engine, sent_at)) return;
   this->ledger.on_broken(this->io.runtime.now(), {tried, engine_key(engine), false, false});
@@ -90,7 +90,7 @@
   this->settle();
 }
 
-void Quarantine::on_silent(const TriedRequest& tried, const EngineId& engine,
+void Quarantine::on_silent(const CallerRequest& tried, const EngineId& engine,
                            MonotonicTime sent_at) {
   if (!this->may_have_ended_it(engine, sent_at)) return;
   this->ledger.on_broken(this->io.runtime.now(), {tried, engine_key(engine), true, false});
@@ -154,7 +154,7 @@
   }
 }
 
-void Quarantine::tell(CrashNews what, const TriedRequest& tried, EngineKey engine,
+void Quarantine::tell(CrashNews what, const CallerRequest& tried, EngineKey engine,
                       MonotonicTime at) {
   const auto known = [&](const Telling& other) {
     return other.request == tried.request && other.engine == engine && other.news == what;
--- a/src/relay/quarantine.hpp
+++ b/src/relay/quarantine.hpp
@@ -41,7 +41,7 @@
   /// @return whether nothing is known against any request, so that none needs an identity.
   bool idle() const { return this->ledger.empty(); }
 
-  CrashStanding standing(const TriedRequest& tried) const;
+  CrashStanding standing(const CallerRequest& tried) const;
 
   /// @return the engines at which other suspects are under way.
   std::set<EngineKey> engines_on_trial(const RequestIdentity& request) const;
@@ -52,8 +52,8 @@
 
   /// An engine broke a request off that it was sent at `sent_at`; or was given up, having said
   /// nothing for a while.
-  void on_broken(const TriedRequest& tried, const EngineId& engine, MonotonicTime sent_at);
-  void on_silent(const TriedRequest& tried, const EngineId& engine, MonotonicTime sent_at);
+  void on_broken(const CallerRequest& tried, const EngineId& engine, MonotonicTime sent_at);
+  void on_silent(const CallerRequest& tried, const EngineId& engine, MonotonicTime sent_at);
 
   /// An engine gave a whole answer: nothing is wrong with the request.
   void on_answered(const RequestIdentity& request);
@@ -99,7 +99,7 @@
     CrashNews news = CrashNews::kBroken;
     RequestIdentity request;
     EngineKey engine = 0;
-    CallerKey caller = 0;
+    CallerAddressHash caller = 0;
     MonotonicTime at{};
     int told = 0;
     MonotonicTime next{};
@@ -107,7 +107,7 @@
   bool may_have_ended_it(const EngineId& engine, MonotonicTime sent_at) const;
   /// @return whether anything is known against a request, whoever sends it.
   bool suspects(const RequestIdentity& request) const;
-  void tell(CrashNews what, const TriedRequest& tried, EngineKey engine, MonotonicTime at);
+  void tell(CrashNews what, const CallerRequest& tried, EngineKey engine, MonotonicTime at);
   void tell_all(const RequestIdentity& request);
   void learn_one(MonotonicTime now, const CrashReport& report);
   void settle();
--- a/src/relay/quarantine_store.cpp
+++ b/src/relay/quarantine_store.cpp
@@ -33,7 +33,7 @@
     for (const json& entry : content.at("held")) {
       const auto request = parse_digest(entry.at("request").get<std::string>());
       const Duration left = left_until(entry.at("until_unix_ms").get<std::uint64_t>(), now_unix_ms);
-      auto callers = entry.at("callers").get<std::set<CallerKey>>();
+      auto callers = entry.at("callers").get<std::set<CallerAddressHash>>();
       if (!request || callers.empty() || left == Duration::zero()) continue;
       all.push_back({*request, entry.at("engines_ended").get<std::vector<EngineKey>>(),
                      std::move(callers), left});
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -37,7 +37,7 @@
                metrics_,   budgets_, quarantine_, listener_, permits_,
                {},         {},       {},          {},        {}},
       splits_(random_fraction(io.runtime)),
-      slack_from_(io.runtime.now() + counted_for(settings.retry_budget)) {
+      slack_from_(io.runtime.now() + charge_duration(settings.retry_budget)) {
   quarantine_.on_news([this] { context_.note_load(); });
   listener_.on_limit_news([this](const LimitNews& news) { context_.note_limit(news); });
   listener_.on_trouble([this](const EngineTrouble& trouble) { context_.note_trouble(trouble); });
@@ -58,9 +58,9 @@
   }
   const std::uint64_t before = table_ ? table_->version() : 0;
   table_ = std::make_shared<const RouteTable>(std::move(configuration));
-  if (!table_->doubts().empty()) {
+  if (!table_->warnings().empty()) {
     log_event(LogArea::kConfig, LogLevel::kWarning, "config_questionable",
-              {{"version", table_->version()}, {"findings", table_->doubts().to_text()}});
+              {{"version", table_->version()}, {"findings", table_->warnings().to_text()}});
   }
   log_event(LogArea::kConfig, LogLevel::kInfo, "config_adopted",
             {{"version", table_->version()},
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -93,13 +93,13 @@
   query.service = service_;
   query.prompt = prompt_ ? &*prompt_ : nullptr;
   query.zone = context_.settings.zone;
-  query.engines_may_keep_more = !context_.settings.first_start;
-  query.avoid = &met_;
-  query.max_connections_here = connections_per_engine();
-  query.apart_from = apart_from_.empty() ? nullptr : &apart_from_;
-  query.may_end_engine = runs_apart();
+  query.cache_view_incomplete = !context_.settings.first_start;
+  query.excluded_engines = &met_;
+  query.max_connections_per_node = connections_per_engine();
+  query.crash_risk_engines = apart_from_.empty() ? nullptr : &apart_from_;
+  query.may_crash_engine = runs_apart();
   const Duration to_objective = arrived_ + route_.objective - context_.runtime.now();
-  query.most_expected_ms = to_ms(std::min(to_objective, time_left()));
+  query.max_expected_ms = to_ms(std::min(to_objective, time_left()));
   return query;
 }
 
@@ -124,7 +124,7 @@
   deferred_ = choice->deferred;
   expected_ms_ = choice->expected_ms;
   take(choice->placement);
-  if (choice->read_first) {
+  if (choice->remote_prefill) {
     read_first(*choice);
   } else {
     send_permitted(choice->placement.engine, Step::kPlain);
@@ -136,22 +136,22 @@
   DispatchQuery query;
   query.placement = placement_query();
   // The fewer engines have to do with it the better.
-  query.prompt_sent = history_.prompt_sent || query.placement.may_end_engine;
-  query.extra = history_.arrived;
-  query.budget = budget_left() - (history_.arrived ? 1 : 0);
+  query.prefill_sent = history_.prefill_sent || query.placement.may_crash_engine;
+  query.extra_dispatch = history_.may_have_arrived;
+  query.retry_budget = budget_left() - (history_.may_have_arrived ? 1 : 0);
   query.gap_target = route_.gap_target;
   query.time_to_objective = arrived_ + route_.objective - context_.runtime.now();
   return query;
 }
 
-std::optional<DispatchChoice> RelaySession::choice_now() {
-  return choose_dispatch(context_.runtime.now(), context_.engines, dispatch_query(),
-                         context_.settings.placement, context_.settings.prefill);
+std::optional<DispatchPlan> RelaySession::choice_now() {
+  return plan_dispatch(context_.runtime.now(), context_.engines, dispatch_query(),
+                       context_.settings.placement, context_.settings.prefill);
 }
 
 void RelaySession::take(const Placement& placement) {
   chosen_ = placement;
-  unread_ = placement.unread_tokens;
+  unread_ = placement.prefill_tokens;
   fetch_address_.clear();
   const EngineView* source =
       placement.fetch_from ? context_.engines.find(*placement.fetch_from) : nullptr;
@@ -162,7 +162,7 @@
   give_back(taker_permit_);
   if (time_left() < kLeastUsefulTime) return on_timeout();
   if (choose() || waits_for_return()) return;
-  if (failure_answer_ || history_.head_forwarded || !may_promise_not_run(history_)) {
+  if (failure_answer_ || history_.head_forwarded || !known_not_run(history_)) {
     return fail(http_status::kBadGateway, "no other engine");
   }
   refuse("no engine");
@@ -260,7 +260,7 @@
 }
 
 bool RelaySession::may_send_again() const {
-  return !history_.arrived || budget_left() >= 1;
+  return !history_.may_have_arrived || budget_left() >= 1;
 }
 
 double RelaySession::budget_left() const {
@@ -268,8 +268,8 @@
 }
 
 void RelaySession::count_send(bool only_read) {
-  history_.prompt_sent = history_.prompt_sent || only_read;
-  extra_ = history_.arrived;
+  history_.prefill_sent = history_.prefill_sent || only_read;
+  extra_ = history_.may_have_arrived;
   if (!extra_) return;
   context_.budgets.of(service_name_).charge(context_.runtime.now());
   context_.metrics.count_extra_send(service_name_.value());
@@ -284,7 +284,7 @@
   const bool only_read = step_ == Step::kPrefill;
   if (outcome != AttemptOutcome::kNotSent) {
     ++history_.sends;
-    history_.arrived = true;
+    history_.may_have_arrived = true;
   }
   // A prompt that was only read has not run.
   if (outcome == AttemptOutcome::kUncertain && !only_read) ++history_.may_have_run;
@@ -309,7 +309,7 @@
 }
 
 void RelaySession::end_unserved(const std::string& why) {
-  if (may_promise_not_run(history_) && !history_.head_forwarded) return refuse(why);
+  if (known_not_run(history_) && !history_.head_forwarded) return refuse(why);
   fail(http_status::kBadGateway, why);
 }
 
@@ -337,7 +337,7 @@
   if (ended_) return;
   const bool may_run = transfer_.has_value() && step_ != Step::kPrefill;
   drop_transfer();
-  if (!may_run && may_promise_not_run(history_) && !history_.head_forwarded) {
+  if (!may_run && known_not_run(history_) && !history_.head_forwarded) {
     return refuse("out of time");
   }
   fail(http_status::kGatewayTimeout, "out of time");
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -53,9 +53,9 @@
   PlacementQuery placement_query() const;
   std::optional<Placement> place_taker();
   DispatchQuery dispatch_query() const;
-  std::optional<DispatchChoice> choice_now();
+  std::optional<DispatchPlan> choice_now();
   bool choose();
-  void read_first(const DispatchChoice& choice);
+  void read_first(const DispatchPlan& choice);
   void send_permitted(const EngineId& engine, Step step);
   void take(const Placement& placement);
   void send(const EngineId& engine, Step step);
@@ -144,7 +144,7 @@
   std::string id_;
   /// Set once it is needed: while something is known against any request, or when an engine has
   /// broken this one off.
-  std::optional<TriedRequest> identity_;
+  std::optional<CallerRequest> identity_;
   std::optional<PromptShape> prompt_;
   MonotonicTime arrived_{};
   MonotonicTime expires_{};
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -216,7 +216,7 @@
   const Duration took = context_.runtime.now() - sent_at_;
   if (fetch_address_.empty()) return model.on_prompt_read(unread_, took, alone);
   if (!alone) return;
-  model.on_fetched(unread_, service_->model->move_ms(prompt_->prompt_tokens - unread_), took);
+  model.on_fetched(unread_, service_->model->transfer_ms(prompt_->prompt_tokens - unread_), took);
 }
 
 void RelaySession::on_stream_end() {
--- a/src/relay/relay_session_permit.cpp
+++ b/src/relay/relay_session_permit.cpp
@@ -22,10 +22,11 @@
 /// A taker that is limited is asked before the prompt is read: where it permits nothing in time,
 /// the prompt would be read for nothing. The permit is good for as long before the expected end of
 /// the reading as after it.
-void RelaySession::read_first(const DispatchChoice& choice) {
+void RelaySession::read_first(const DispatchPlan& choice) {
   const EngineId& reader = choice.placement.engine;
-  if (!context_.permits.limited(choice.taker.engine)) return send_permitted(reader, Step::kPrefill);
-  taker_ = choice.taker;
+  if (!context_.permits.limited(choice.decode.engine))
+    return send_permitted(reader, Step::kPrefill);
+  taker_ = choice.decode;
   const EngineView* view = context_.engines.find(taker_.engine);
   const Duration read_in = from_seconds(choice.placement.expected_ms / kMillisecondsASecond);
   const Duration earliest = std::max(Duration::zero(), read_in - kPermitLife / 2);
--- a/src/relay/request_identity.cpp
+++ b/src/relay/request_identity.cpp
@@ -2,11 +2,11 @@
 
 namespace shuntbank::relay {
 
-TriedRequest identity_of(const HttpRequest& request, std::string_view tenant) {
+CallerRequest identity_of(const HttpRequest& request, std::string_view tenant) {
   const RequestIdentity identity =
       sha256_128({request.headers.get("Authorization"), tenant, request.method,
                   request.headers.get("Host"), request.target, request.body});
-  return {identity, static_cast<CallerKey>(hash64(request.caller))};
+  return {identity, static_cast<CallerAddressHash>(hash64(request.caller))};
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/request_identity.hpp
+++ b/src/relay/request_identity.hpp
@@ -9,6 +9,6 @@
 
 /// @param tenant whose request it is; empty where there are none.
 /// @return the identity of a request, and the short name of the address that it comes from.
-TriedRequest identity_of(const HttpRequest& request, std::string_view tenant);
+CallerRequest identity_of(const HttpRequest& request, std::string_view tenant);
 
 }  // namespace shuntbank::relay
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -104,7 +104,7 @@
   this->told.push_back({message.sequence, by_key(message.load)});
   if (this->told.size() > kMostTold) this->told.pop_front();
   message.to_collector = true;
-  for (const NodeId& name : this->choice.told(this->runtime.now())) {
+  for (const NodeId& name : this->choice.report_targets(this->runtime.now())) {
     message.wants_view = this->choice.source() == name;
     if (name == this->self) {
       this->on_report(message);
@@ -118,7 +118,7 @@
   if (!this->peers.find(message.node)) return;
   if (this->collector.idle()) this->begin_collecting();
   MemberLoad member{{message.boot, message.sequence}, by_key(message.load), message.wants_view};
-  if (!this->collector.on_member(this->runtime.now(), message.node, std::move(member))) return;
+  if (!this->collector.on_member_load(this->runtime.now(), message.node, std::move(member))) return;
   this->append_news(this->zone_news, news_of(message));
   this->note_seen(message.seen);
   if (message.store_age_ms) this->note_reader(*message.store_age_ms);
@@ -130,8 +130,9 @@
   if (!digest) return log_malformed_message("digest", digest.error());
   if (!this->peers.is_peer(digest->collector) || digest->zone == this->zone) return;
   const MonotonicTime now = this->runtime.now();
-  const bool taken = this->collector.on_zone(now, {digest->zone, digest->collector, digest->number,
-                                                   digest->nodes, std::move(digest->part)});
+  const bool taken = this->collector.on_zone_load(
+      now,
+      {digest->zone, digest->collector, digest->number, digest->nodes, std::move(digest->part)});
   if (taken) this->append_news(this->other_news, digest->news);
   const auto there = this->other_zones.find(digest->zone);
   if (there != this->other_zones.end()) there->second.on_view(now, digest->collector);
@@ -219,7 +220,7 @@
 
 bool ZoneExchange::collects_by_rank() const {
   if (!this->collecting()) return false;
-  const auto ranked = this->choice.told(this->runtime.now());
+  const auto ranked = this->choice.report_targets(this->runtime.now());
   return std::find(ranked.begin(), ranked.end(), this->self) != ranked.end();
 }
 
@@ -239,7 +240,7 @@
   const auto before = this->choice.source();
   const auto given_up = this->choice.poll(this->runtime.now());
   if (this->choice.source() == before) {
-    if (this->choice.waits(this->runtime.now())) this->ask();
+    if (this->choice.should_request_view(this->runtime.now())) this->ask();
     return;
   }
   log_event(LogArea::kControl, LogLevel::kInfo, "collector_chosen",
@@ -299,9 +300,10 @@
   const auto parts = encode_parts(whole);
   for (auto& [name, there] : this->other_zones) {
     there.poll(now);
-    const std::vector<NodeId> likely = there.told(now);
+    const std::vector<NodeId> likely = there.report_targets(now);
     std::set<NodeId> targets(likely.begin(), likely.end());
-    for (NodeId& heard : this->collector.heard_of(now, name)) targets.insert(std::move(heard));
+    for (NodeId& heard : this->collector.active_collectors(now, name))
+      targets.insert(std::move(heard));
     for (const NodeId& target : targets) {
       for (const std::string& part : parts) this->send(target, part);
     }
@@ -315,7 +317,7 @@
   for (const Subscriber& subscriber : subscribers) {
     if (subscriber.node == this->self) continue;
     for (const std::string& part : parts) {
-      this->send(subscriber.node, address_view(subscriber.counted, part));
+      this->send(subscriber.node, address_view(subscriber.last_sequence, part));
     }
   }
 }
--- a/src/relay/zone_exchange.hpp
+++ b/src/relay/zone_exchange.hpp
@@ -112,8 +112,8 @@
   std::function<void(const CatalogRevisions&)> on_seen;
   std::function<void()> on_ask;
 
-  CollectorChoice choice;
-  std::map<ZoneName, CollectorChoice> other_zones;  ///< Whom this node tells there as collector.
+  CollectorSelector choice;
+  std::map<ZoneName, CollectorSelector> other_zones;  ///< Whom this node tells there as collector.
   LoadCollector collector;
   std::unique_ptr<Timer> timer;
   bool running = false;
--- a/tests/core/relay/attempt_outcome_test.cpp
+++ b/tests/core/relay/attempt_outcome_test.cpp
@@ -5,7 +5,7 @@
 using namespace shuntbank;
 using namespace shuntbank::relay;
 
-Test(attempt_outcome, keeps_its_promises_over_any_course) {
+Test(attempt_outcome, never_reruns_unsafe_requests_nor_refuses_after_a_run) {
   SHUNTBANK_PROPERTY("at most once, true promises, bounded attempts", [] {
     Route route;
     route.kind = *rc::gen::element(RouteKind::kSafe, RouteKind::kUnsafe, RouteKind::kStream);
--- a/tests/core/relay/collector_choice_test.cpp
+++ b/tests/core/relay/collector_choice_test.cpp
@@ -16,16 +16,16 @@
   return nodes;
 }
 
-CollectorChoice choice_of_three() {
-  CollectorChoice choice{CollectorChoiceSettings{}};
-  choice.set_order(names({"a", "b", "c"}));
-  choice.poll(kNow);
-  return choice;
+CollectorSelector selector_of_three() {
+  CollectorSelector selector{CollectorSelectorSettings{}};
+  selector.set_order(names({"a", "b", "c"}));
+  selector.poll(kNow);
+  return selector;
 }
 
 }  // namespace
 
-Test(collector_choice, ranks_the_larger_machines_of_a_zone_first) {
+Test(collector_selector, ranks_the_larger_machines_of_a_zone_first) {
   const ZoneName zone("z1");
   const PeerRecords nodes{{NodeId("small"), {"1:1", zone, 0.12}},
                           {NodeId("large"), {"2:1", zone, 0.5}},
@@ -33,33 +33,33 @@
   cr_assert(collector_order(nodes, zone) == names({"large", "small"}));
 }
 
-Test(collector_choice, tells_two_and_listens_to_the_first) {
-  const CollectorChoice choice = choice_of_three();
-  cr_assert(choice.source() == NodeId("a"));
-  cr_assert(choice.told(kNow) == names({"a", "b"}));
+Test(collector_selector, tells_two_and_listens_to_the_first) {
+  const CollectorSelector selector = selector_of_three();
+  cr_assert(selector.source() == NodeId("a"));
+  cr_assert(selector.report_targets(kNow) == names({"a", "b"}));
 }
 
-Test(collector_choice, leaves_a_silent_collector_for_the_one_that_was_told_already) {
-  CollectorChoice choice = choice_of_three();
-  choice.on_view(kNow + 1s, NodeId("a"));
-  cr_assert(!choice.poll(kNow + 1s + 400ms));
-  cr_assert(choice.poll(kNow + 1s + 401ms) == NodeId("a"));
-  cr_assert(choice.told(kNow + 1s + 401ms) == names({"b", "c"}));
+Test(collector_selector, leaves_a_silent_collector_for_the_one_that_was_told_already) {
+  CollectorSelector selector = selector_of_three();
+  selector.on_view(kNow + 1s, NodeId("a"));
+  cr_assert(!selector.poll(kNow + 1s + 400ms));
+  cr_assert(selector.poll(kNow + 1s + 401ms) == NodeId("a"));
+  cr_assert(selector.report_targets(kNow + 1s + 401ms) == names({"b", "c"}));
 }
 
-Test(collector_choice, stays_with_a_collector_that_speaks) {
-  CollectorChoice choice = choice_of_three();
-  choice.poll(kNow + 500ms);
+Test(collector_selector, stays_with_a_collector_that_speaks) {
+  CollectorSelector selector = selector_of_three();
+  selector.poll(kNow + 500ms);
   for (Duration at = 500ms; at < 20s; at += 100ms) {
-    choice.on_view(kNow + at, NodeId("b"));
-    choice.poll(kNow + at);
+    selector.on_view(kNow + at, NodeId("b"));
+    selector.poll(kNow + at);
   }
-  cr_assert(choice.source() == NodeId("b"), "though the first one is not suspected any more");
+  cr_assert(selector.source() == NodeId("b"), "though the first one is not suspected any more");
 }
 
-Test(collector_choice, begins_again_when_all_are_silent) {
-  CollectorChoice choice = choice_of_three();
-  for (Duration at = 500ms; at < 3s; at += 500ms) choice.poll(kNow + at);
-  cr_assert(choice.source().has_value());
-  cr_assert_eq(choice.told(kNow + 3s).size(), 2);
+Test(collector_selector, begins_again_when_all_are_silent) {
+  CollectorSelector selector = selector_of_three();
+  for (Duration at = 500ms; at < 3s; at += 500ms) selector.poll(kNow + at);
+  cr_assert(selector.source().has_value());
+  cr_assert_eq(selector.report_targets(kNow + 3s).size(), 2);
 }
--- a/tests/core/relay/crash_ledger_test.cpp
+++ b/tests/core/relay/crash_ledger_test.cpp
@@ -7,7 +7,7 @@
 using namespace shuntbank;
 using namespace std::chrono_literals;
 using relay::BrokenRequest;
-using relay::CallerKey;
+using relay::CallerAddressHash;
 using relay::CrashLedger;
 using relay::CrashLedgerSettings;
 using relay::CrashStanding;
@@ -19,8 +19,8 @@
 constexpr RequestIdentity kGuilty{1, 1};
 constexpr RequestIdentity kNeighbour{2, 2};
 constexpr RequestIdentity kOther{3, 3};
-constexpr CallerKey kCaller = 70;
-constexpr CallerKey kOtherCaller = 71;
+constexpr CallerAddressHash kCaller = 70;
+constexpr CallerAddressHash kOtherCaller = 71;
 
 BrokenRequest broken(const RequestIdentity& request, EngineKey engine, bool silent = false) {
   return {{request, kCaller}, engine, silent, false};
--- a/tests/core/relay/dispatch_choice_test.cpp
+++ b/tests/core/relay/dispatch_choice_test.cpp
@@ -10,8 +10,8 @@
 constexpr MonotonicTime kNow{std::chrono::seconds(100)};
 
 /// A prefill and a decode engine, and a prompt that neither keeps.
-struct Choice {
-  Choice() {
+struct Fixture {
+  Fixture() {
     this->service.name = ServiceName("model");
     this->service.model.emplace();
     this->service.model->kv_token_bytes = 18432;
@@ -20,7 +20,7 @@
     this->add("maker", EngineStage::kDecode);
     this->query.placement.service = &this->service;
     this->query.placement.prompt = &this->prompt;
-    this->query.budget = 10;
+    this->query.retry_budget = 10;
   }
 
   void add(const std::string& id, EngineStage stage) {
@@ -31,8 +31,8 @@
     this->engines.upsert(record);
   }
 
-  std::optional<DispatchChoice> choose() {
-    return choose_dispatch(kNow, this->engines, this->query, {}, {});
+  std::optional<DispatchPlan> choose() {
+    return plan_dispatch(kNow, this->engines, this->query, {}, {});
   }
 
   EngineDirectory engines;
@@ -43,121 +43,121 @@
 
 }  // namespace
 
-Test(dispatch_choice, has_a_long_prompt_read_apart) {
-  Choice choice;
-  cr_assert(choice.choose()->read_first);
-  cr_assert_eq(choice.choose()->placement.engine.value(), "reader");
+Test(dispatch_plan, prefills_a_long_prompt_remotely) {
+  Fixture fixture;
+  cr_assert(fixture.choose()->remote_prefill);
+  cr_assert_eq(fixture.choose()->placement.engine.value(), "reader");
 }
 
-Test(dispatch_choice, reads_what_the_answering_engine_keeps_there) {
-  Choice choice;
-  choice.engines.find(EngineId("maker"))->cache.on_read(choice.prompt.parts, 1000000, kNow);
-  cr_assert_not(choice.choose()->read_first);
-  cr_assert_eq(choice.choose()->placement.engine.value(), "maker");
+Test(dispatch_plan, reads_what_the_answering_engine_keeps_there) {
+  Fixture fixture;
+  fixture.engines.find(EngineId("maker"))->cache.on_read(fixture.prompt.parts, 1000000, kNow);
+  cr_assert_not(fixture.choose()->remote_prefill);
+  cr_assert_eq(fixture.choose()->placement.engine.value(), "maker");
 }
 
-Test(dispatch_choice, reads_a_prompt_apart_once) {
-  Choice choice;
-  choice.query.prompt_sent = true;
-  cr_assert_not(choice.choose()->read_first);
+Test(dispatch_plan, reads_a_prompt_apart_once) {
+  Fixture fixture;
+  fixture.query.prefill_sent = true;
+  cr_assert_not(fixture.choose()->remote_prefill);
 }
 
-Test(dispatch_choice, takes_no_risk_of_a_refusal_without_budget) {
-  Choice choice;
-  choice.query.budget = 0.9;
-  cr_assert(choice.choose()->read_first, "an engine that refuses nothing needs no budget");
-  choice.engines.on_health(kNow, EngineId("reader"), AttemptHealth::kBusy);
-  cr_assert_not(choice.choose()->read_first);
-  choice.query.budget = 1;
-  cr_assert(choice.choose()->read_first);
+Test(dispatch_plan, takes_no_risk_of_a_refusal_without_budget) {
+  Fixture fixture;
+  fixture.query.retry_budget = 0.9;
+  cr_assert(fixture.choose()->remote_prefill, "an engine that refuses nothing needs no budget");
+  fixture.engines.on_health(kNow, EngineId("reader"), AttemptHealth::kBusy);
+  cr_assert_not(fixture.choose()->remote_prefill);
+  fixture.query.retry_budget = 1;
+  cr_assert(fixture.choose()->remote_prefill);
 }
 
-Test(dispatch_choice, reads_no_prompt_apart_that_it_could_not_pay_to_take_up) {
-  Choice choice;
-  choice.query.extra = true;
-  choice.query.budget = 0.9;
-  cr_assert_not(choice.choose()->read_first);
-  choice.query.budget = 1;
-  cr_assert(choice.choose()->read_first);
+Test(dispatch_plan, reads_no_prompt_apart_that_it_could_not_pay_to_take_up) {
+  Fixture fixture;
+  fixture.query.extra_dispatch = true;
+  fixture.query.retry_budget = 0.9;
+  cr_assert_not(fixture.choose()->remote_prefill);
+  fixture.query.retry_budget = 1;
+  cr_assert(fixture.choose()->remote_prefill);
 }
 
-Test(dispatch_choice, reads_at_the_decode_engine_when_the_readers_queue_is_long) {
-  Choice choice;
-  choice.engines.on_sent(EngineId("reader"), {500000, false});
-  cr_assert_not(choice.choose()->read_first);
+Test(dispatch_plan, reads_at_the_decode_engine_when_the_readers_queue_is_long) {
+  Fixture fixture;
+  fixture.engines.on_sent(EngineId("reader"), {500000, false});
+  cr_assert_not(fixture.choose()->remote_prefill);
 }
 
-Test(dispatch_choice, chooses_nothing_where_nobody_answers) {
-  Choice choice;
-  choice.engines.remove(EngineId("maker"));
-  cr_assert_not(choice.choose().has_value());
+Test(dispatch_plan, chooses_nothing_where_nobody_answers) {
+  Fixture fixture;
+  fixture.engines.remove(EngineId("maker"));
+  cr_assert_not(fixture.choose().has_value());
 }
 
-Test(dispatch_choice, reads_no_prompt_beside_streams_that_are_nearly_late) {
+Test(dispatch_plan, reads_no_prompt_beside_streams_that_are_nearly_late) {
   // Streams came 100 to 170 ms apart where 40 was free running and 150 in time: two in five late.
-  Choice choice;
-  choice.prompt = {{{1, 200}}, 200, 80};
-  choice.query.gap_target = std::chrono::milliseconds(150);
-  cr_assert_not(choice.choose()->read_first);
-  choice.engines.on_event_gap(kNow, EngineId("maker"), std::chrono::milliseconds(140));
-  cr_assert(choice.choose()->read_first);
+  Fixture fixture;
+  fixture.prompt = {{{1, 200}}, 200, 80};
+  fixture.query.gap_target = std::chrono::milliseconds(150);
+  cr_assert_not(fixture.choose()->remote_prefill);
+  fixture.engines.on_event_gap(kNow, EngineId("maker"), std::chrono::milliseconds(140));
+  cr_assert(fixture.choose()->remote_prefill);
 }
 
-Test(dispatch_choice, forgets_how_slow_streams_were) {
-  Choice choice;
-  choice.prompt = {{{1, 200}}, 200, 80};
-  choice.query.gap_target = std::chrono::milliseconds(150);
-  choice.engines.on_event_gap(kNow - std::chrono::seconds(2), EngineId("maker"),
-                              std::chrono::milliseconds(140));
-  cr_assert_not(choice.choose()->read_first);
+Test(dispatch_plan, forgets_how_slow_streams_were) {
+  Fixture fixture;
+  fixture.prompt = {{{1, 200}}, 200, 80};
+  fixture.query.gap_target = std::chrono::milliseconds(150);
+  fixture.engines.on_event_gap(kNow - std::chrono::seconds(2), EngineId("maker"),
+                               std::chrono::milliseconds(140));
+  cr_assert_not(fixture.choose()->remote_prefill);
 }
 
-Test(dispatch_choice, defers_what_cannot_be_in_time) {
+Test(dispatch_plan, defers_what_cannot_be_in_time) {
   // Four times the usual requests for four seconds: each waited in turn, and all were late.
-  Choice choice;
-  choice.query.time_to_objective = std::chrono::milliseconds(600);
-  cr_assert_not(choice.choose()->deferred);
-  choice.engines.on_sent(EngineId("reader"), {500000, false});
-  choice.engines.on_sent(EngineId("maker"), {500000, false});
-  cr_assert(choice.choose()->deferred);
+  Fixture fixture;
+  fixture.query.time_to_objective = std::chrono::milliseconds(600);
+  cr_assert_not(fixture.choose()->deferred);
+  fixture.engines.on_sent(EngineId("reader"), {500000, false});
+  fixture.engines.on_sent(EngineId("maker"), {500000, false});
+  cr_assert(fixture.choose()->deferred);
 }
 
-Test(dispatch_choice, passes_what_is_deferred) {
-  Choice choice;
-  choice.query.time_to_objective = std::chrono::milliseconds(600);
-  choice.engines.on_sent(EngineId("maker"), {500000, false});
-  choice.engines.on_sent(EngineId("reader"), {500000, true});
-  choice.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 400000}}});
-  cr_assert_not(choice.choose()->deferred);
-  choice.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 0}}});
-  cr_assert(choice.choose()->deferred);
+Test(dispatch_plan, passes_what_is_deferred) {
+  Fixture fixture;
+  fixture.query.time_to_objective = std::chrono::milliseconds(600);
+  fixture.engines.on_sent(EngineId("maker"), {500000, false});
+  fixture.engines.on_sent(EngineId("reader"), {500000, true});
+  fixture.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 400000}}});
+  cr_assert_not(fixture.choose()->deferred);
+  fixture.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 0}}});
+  cr_assert(fixture.choose()->deferred);
 }
 
-Test(dispatch_choice, counts_deferred_work_as_read_or_dropped) {
-  Choice choice;
+Test(dispatch_plan, counts_deferred_work_as_read_or_dropped) {
+  Fixture fixture;
   const EngineId reader("reader");
-  choice.engines.on_sent(reader, {5000, true});
-  choice.engines.on_sent(reader, {3000, false});
-  choice.engines.on_read(reader, {5000, true});
-  cr_assert_eq(choice.engines.find(reader)->deferred_tokens, 0);
-  cr_assert_eq(choice.engines.find(reader)->unread_tokens, 3000);
+  fixture.engines.on_sent(reader, {5000, true});
+  fixture.engines.on_sent(reader, {3000, false});
+  fixture.engines.on_read(reader, {5000, true});
+  cr_assert_eq(fixture.engines.find(reader)->deferred_tokens, 0);
+  cr_assert_eq(fixture.engines.find(reader)->unread_tokens, 3000);
 }
 
 // Seen: by reading. A request that would be just too late is chosen for again, behind all that can
 // be in time; the only engine left, which takes it after a wait for a permit, was no candidate
 // then. Cause: the second choice was taken for one that always finds what the first has found.
 // Proved by this test, which ended the process.
-Test(dispatch_choice, keeps_its_choice_where_a_limited_engine_takes_nothing_that_is_deferred) {
-  Choice choice;
-  choice.query.prompt_sent = true;
+Test(dispatch_plan, keeps_its_choice_where_a_limited_engine_takes_nothing_that_is_deferred) {
+  Fixture fixture;
+  fixture.query.prefill_sent = true;
   const EngineId maker("maker");
-  choice.engines.on_limit(maker, {2.0, kNow});
-  choice.engines.on_next_permit(maker, kNow + std::chrono::milliseconds(100));
-  choice.engines.on_sent(maker, {50000, true});
-  const double expected_ms = choice.choose()->expected_ms;
-  choice.query.time_to_objective = from_seconds(expected_ms / 0.95 / 1000);
-  choice.query.placement.most_expected_ms = to_ms(choice.query.time_to_objective);
-  const auto chosen = choice.choose();
+  fixture.engines.on_limit(maker, {2.0, kNow});
+  fixture.engines.on_next_permit(maker, kNow + std::chrono::milliseconds(100));
+  fixture.engines.on_sent(maker, {50000, true});
+  const double expected_ms = fixture.choose()->expected_ms;
+  fixture.query.time_to_objective = from_seconds(expected_ms / 0.95 / 1000);
+  fixture.query.placement.max_expected_ms = to_ms(fixture.query.time_to_objective);
+  const auto chosen = fixture.choose();
   cr_assert(chosen.has_value());
   cr_assert_eq(chosen->placement.engine, maker);
 }
@@ -167,9 +167,9 @@
 // permit, none here, was taken for the cost of reading apart where that was below zero, as it is at
 // the home of a prompt's shared part. Cause: a cost with preferences in it compared to a time.
 // Proved by this test, and by the same days before and after.
-Test(dispatch_choice, reads_apart_at_the_home_of_a_prompt_of_which_the_taker_keeps_a_little) {
-  Choice choice;
-  choice.prompt = {{{1, 3000}, {3, 6000}, {2, 1000}}, 10000, 80};
-  choice.engines.find(EngineId("maker"))->cache.on_read({{1, 3000}}, 1000000, kNow);
-  cr_assert(choice.choose()->read_first);
+Test(dispatch_plan, reads_apart_at_the_home_of_a_prompt_of_which_the_taker_keeps_a_little) {
+  Fixture fixture;
+  fixture.prompt = {{{1, 3000}, {3, 6000}, {2, 1000}}, 10000, 80};
+  fixture.engines.find(EngineId("maker"))->cache.on_read({{1, 3000}}, 1000000, kNow);
+  cr_assert(fixture.choose()->remote_prefill);
 }
--- a/tests/core/relay/engine_directory_test.cpp
+++ b/tests/core/relay/engine_directory_test.cpp
@@ -99,7 +99,7 @@
   engines.on_peer_load(kNow, NodeId("n1"), {{EngineId("a"), {2, 100}}});
   engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("a"), {1, 50}}, {EngineId("b"), {4, 0}}});
   cr_assert_eq(view(engines, "a").peers->in_flight, 3);
-  cr_assert_eq(view(engines, "a").peers->unread_tokens, 150);
+  cr_assert_eq(view(engines, "a").peers->prefill_tokens, 150);
   engines.on_peer_load(kNow + 2s, NodeId("n1"), {{EngineId("b"), {1, 0}}});
   cr_assert_eq(view(engines, "a").peers->in_flight, 1);
   cr_assert_eq(view(engines, "b").peers->in_flight, 5);
@@ -204,8 +204,8 @@
   int at_once = 0;
   while (planner.next(kNow, engines, table)) ++at_once;
   cr_assert_eq(at_once, 9);
-  cr_assert_not(planner.next(kNow + settings.between_batches - 1ms, engines, table).has_value());
-  cr_assert(planner.next(kNow + settings.between_batches, engines, table).has_value());
+  cr_assert_not(planner.next(kNow + settings.batch_interval - 1ms, engines, table).has_value());
+  cr_assert(planner.next(kNow + settings.batch_interval, engines, table).has_value());
 }
 
 Test(stage_planner, engines_that_come_later_and_hold_nothing_wait_for_no_batch) {
@@ -252,7 +252,7 @@
   const relay::EngineView* view = engines.find(second.id);
   cr_assert_not_null(view);
   cr_assert_eq(view->in_flight, 0);
-  cr_assert(view->cache.kept().empty());
+  cr_assert(view->cache.cached_parts().empty());
   // What was still under way at the first ends without a trace at the second.
   engines.on_ended(first.id);
   engines.on_read(first.id, {500, false});
--- a/tests/core/relay/load_collector_test.cpp
+++ b/tests/core/relay/load_collector_test.cpp
@@ -26,27 +26,27 @@
 
 Test(load_collector, sums_up_the_newest_word_of_each_node) {
   LoadCollector collector{LoadCollectorSettings{}};
-  cr_assert(collector.on_member(kNow, NodeId("a"), member(2, 3)));
-  cr_assert(!collector.on_member(kNow, NodeId("a"), member(1, 9)), "late");
-  cr_assert(!collector.on_member(kNow, NodeId("a"), member(2, 3)), "doubled");
-  cr_assert(collector.on_member(kNow, NodeId("b"), member(1, 4, false)));
+  cr_assert(collector.on_member_load(kNow, NodeId("a"), member(2, 3)));
+  cr_assert(!collector.on_member_load(kNow, NodeId("a"), member(1, 9)), "late");
+  cr_assert(!collector.on_member_load(kNow, NodeId("a"), member(2, 3)), "doubled");
+  cr_assert(collector.on_member_load(kNow, NodeId("b"), member(1, 4, false)));
   cr_assert_eq(collector.zone_load().at(kEngine).in_flight, 7);
   const auto subscribers = collector.subscribers();
   cr_assert_eq(subscribers.size(), 1);
-  cr_assert_eq(subscribers[0].counted, 2);
+  cr_assert_eq(subscribers[0].last_sequence, 2);
 }
 
 Test(load_collector, takes_a_node_that_started_again) {
   LoadCollector collector{LoadCollectorSettings{}};
-  collector.on_member(kNow, NodeId("a"), member(90, 3));
-  cr_assert(collector.on_member(kNow, NodeId("a"), {{8, 1}, {}, true}));
+  collector.on_member_load(kNow, NodeId("a"), member(90, 3));
+  cr_assert(collector.on_member_load(kNow, NodeId("a"), {{8, 1}, {}, true}));
   cr_assert(collector.zone_load().empty());
 }
 
 Test(load_collector, forgets_who_is_silent) {
   LoadCollector collector{LoadCollectorSettings{}};
-  collector.on_member(kNow, NodeId("a"), member(1, 3));
-  collector.on_zone(kNow, zone("c1", 1, 9, 5));
+  collector.on_member_load(kNow, NodeId("a"), member(1, 3));
+  collector.on_zone_load(kNow, zone("c1", 1, 9, 5));
   collector.expire(kNow + 3s);
   cr_assert(collector.idle());
   cr_assert(collector.fleet_load(kNow + 3s).empty());
@@ -54,27 +54,27 @@
 
 Test(load_collector, counts_a_zone_once_by_the_collector_that_knows_most) {
   LoadCollector collector{LoadCollectorSettings{}};
-  collector.on_member(kNow, NodeId("a"), member(1, 1));
-  cr_assert(collector.on_zone(kNow, zone("c1", 1, 9, 5)));
-  cr_assert(!collector.on_zone(kNow, zone("c2", 1, 4, 2)), "knows less");
+  collector.on_member_load(kNow, NodeId("a"), member(1, 1));
+  cr_assert(collector.on_zone_load(kNow, zone("c1", 1, 9, 5)));
+  cr_assert(!collector.on_zone_load(kNow, zone("c2", 1, 4, 2)), "knows less");
   cr_assert_eq(collector.fleet_load(kNow).at(kEngine).in_flight, 6);
   cr_assert_eq(collector.fleet_nodes(kNow), 10);
   // The first one stands still: what it knew is old, and the other's word is taken.
-  cr_assert(collector.on_zone(kNow + 500ms, zone("c2", 2, 4, 2)));
+  cr_assert(collector.on_zone_load(kNow + 500ms, zone("c2", 2, 4, 2)));
   cr_assert_eq(collector.fleet_load(kNow + 500ms).at(kEngine).in_flight, 3);
 }
 
 Test(load_collector, replaces_only_the_range_that_a_part_covers) {
   LoadCollector collector{LoadCollectorSettings{}};
-  collector.on_member(kNow, NodeId("a"), {{7, 1}, {}, true});
-  collector.on_zone(kNow, zone("c1", 1, 9, 5));
+  collector.on_member_load(kNow, NodeId("a"), {{7, 1}, {}, true});
+  collector.on_zone_load(kNow, zone("c1", 1, 9, 5));
   ZoneLoad part = zone("c1", 2, 9, 0);
   part.part = {kEngine + 1, kEngine + 9, {{kEngine + 2, {4, 0, 0}}}};
-  collector.on_zone(kNow, part);
+  collector.on_zone_load(kNow, part);
   cr_assert_eq(collector.fleet_load(kNow).at(kEngine).in_flight, 5);
   cr_assert_eq(collector.fleet_load(kNow).at(kEngine + 2).in_flight, 4);
   part.number.sequence = 1;
   part.part.load.clear();
-  cr_assert(!collector.on_zone(kNow, part), "an older part");
+  cr_assert(!collector.on_zone_load(kNow, part), "an older part");
   cr_assert_eq(collector.fleet_load(kNow).at(kEngine + 2).in_flight, 4);
 }
--- a/tests/core/relay/permit_schedule_test.cpp
+++ b/tests/core/relay/permit_schedule_test.cpp
@@ -21,7 +21,7 @@
 
 Test(permit_schedule, spaces_sends_and_says_when_the_next_one_may_leave) {
   PermitSchedule schedule;
-  schedule.begin(kNow, 2);
+  schedule.reset(kNow, 2);
   cr_assert_not(schedule.take(kNow, 2, kNow + 400ms).has_value(), "no burst at its beginning");
   cr_assert_eq(schedule.take(kNow, 2, kNow + 500ms), kNow + 500ms);
   cr_assert_eq(schedule.next(kNow, 2), kNow + 1s);
@@ -33,7 +33,7 @@
 
 Test(permit_schedule, lets_one_in_ten_seconds_ask_an_engine_that_takes_nothing) {
   PermitSchedule schedule;
-  schedule.begin(kNow, 0);
+  schedule.reset(kNow, 0);
   cr_assert_not(schedule.take(kNow + 9s, 0, kNow + 9s).has_value());
   cr_assert(schedule.take(kNow + 10s, 0, kNow + 10s).has_value());
   cr_assert_not(schedule.take(kNow + 10s, 0, kNow + 19s).has_value());
@@ -41,23 +41,23 @@
 
 Test(permit_schedule, holds_in_every_window_and_is_used) {
   SHUNTBANK_PROPERTY("sends in a window", [] {
-    const double a_second = *rc::gen::inRange(2, 500) / 10.0;
+    const double per_second = *rc::gen::inRange(2, 500) / 10.0;
     PermitSchedule schedule;
-    schedule.begin(kNow, a_second);
+    schedule.reset(kNow, per_second);
     std::deque<MonotonicTime> window;
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     MonotonicTime now = kNow;
     int sends = 0;
     while (now < kNow + 30s) {
       now += std::chrono::milliseconds(random() % 40);
-      const auto leaves = schedule.take(now, a_second, now + 1s);
-      if (!leaves) continue;
+      const auto send_at = schedule.take(now, per_second, now + 1s);
+      if (!send_at) continue;
       ++sends;
-      window.push_back(*leaves);
-      while (window.front() <= *leaves - LimitJudge::kWindow) window.pop_front();
-      const double most = a_second * to_seconds(LimitJudge::kWindow) + kPermitBurst;
-      RC_ASSERT(static_cast<double>(window.size()) <= most + 0.001);
+      window.push_back(*send_at);
+      while (window.front() <= *send_at - LimitJudge::kWindow) window.pop_front();
+      const double max_sends = per_second * to_seconds(LimitJudge::kWindow) + kPermitBurst;
+      RC_ASSERT(static_cast<double>(window.size()) <= max_sends + 0.001);
     }
-    RC_ASSERT(sends >= 0.8 * a_second * 30 - 2);
+    RC_ASSERT(sends >= 0.8 * per_second * 30 - 2);
   });
 }
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -37,7 +37,7 @@
     query.service = &service;
     query.prompt = &prompt;
     query.stage = EngineStage::kPrefill;
-    query.engines_may_keep_more = false;
+    query.cache_view_incomplete = false;
   }
   std::optional<Placement> choose() { return place(kNow, engines, query, PlacementSettings{}); }
 
@@ -64,7 +64,7 @@
   }
   cr_assert_eq(fleet.choose()->engine.value(), "p4");
   const std::vector<EngineId> met{EngineId("p4")};
-  fleet.query.avoid = &met;
+  fleet.query.excluded_engines = &met;
   cr_assert_not(fleet.choose().has_value());
 }
 
@@ -84,12 +84,12 @@
   const EngineId home = fleet.choose()->engine;
   fleet.engines.find(home)->cache.on_read(fleet.prompt.parts, 1000000, kNow);
   cr_assert_eq(fleet.choose()->engine, home);
-  cr_assert_eq(fleet.choose()->unread_tokens, 0);
+  cr_assert_eq(fleet.choose()->prefill_tokens, 0);
   fleet.engines.on_sent(home, {60000, false});
   const auto spilled = fleet.choose();
   cr_assert_neq(spilled->engine, home);
   cr_assert_eq(*spilled->fetch_from, home);
-  cr_assert_eq(spilled->unread_tokens, 0);
+  cr_assert_eq(spilled->prefill_tokens, 0);
 }
 
 Test(placement, leaves_the_home_when_reading_the_shared_parts_elsewhere_is_quicker) {
@@ -118,9 +118,9 @@
 
 Test(placement, assumes_parts_at_their_home_after_a_restart) {
   Fleet fleet;
-  cr_assert_eq(fleet.choose()->unread_tokens, 15000);
-  fleet.query.engines_may_keep_more = true;
-  cr_assert_eq(fleet.choose()->unread_tokens, 3000);
+  cr_assert_eq(fleet.choose()->prefill_tokens, 15000);
+  fleet.query.cache_view_incomplete = true;
+  cr_assert_eq(fleet.choose()->prefill_tokens, 3000);
 }
 
 Test(placement, spreads_prompts_that_nodes_place_on_the_same_view) {
--- a/tests/core/relay/retry_budget_test.cpp
+++ b/tests/core/relay/retry_budget_test.cpp
@@ -115,7 +115,7 @@
       const int what = *rc::gen::inRange(0, 40);
       if (what == 0) {
         // The process starts again.
-        budget = RetryBudget(settings, {each, now + counted_for(settings)});
+        budget = RetryBudget(settings, {each, now + charge_duration(settings)});
       } else if (what < 12) {
         const int burst = *rc::gen::inRange(1, 30);
         for (int request = 0; request < burst; ++request) budget.on_request(now);
--- a/tests/core/relay/routes_test.cpp
+++ b/tests/core/relay/routes_test.cpp
@@ -85,9 +85,10 @@
                            {TenantName("post"), {key}, std::nullopt},
                            {TenantName("guild"), {}, std::nullopt}};
   cr_assert(check(configuration).empty());
-  const std::string doubts = RouteTable(configuration).doubts().to_text();
+  const std::string warnings = RouteTable(configuration).warnings().to_text();
   for (const char* place :
        {"services/0/scale", "tenants/1/keys/0", "tenants/2/name", "tenants/2/keys"}) {
-    cr_assert(doubts.find(place) != std::string::npos, "%s is not in %s", place, doubts.c_str());
+    cr_assert(warnings.find(place) != std::string::npos, "%s is not in %s", place,
+              warnings.c_str());
   }
 }
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -56,7 +56,7 @@
                          {{"name", "post"}, {"keys", json::array()}}};
   const auto read = ObjectCodec().configuration(document);
   cr_assert(read.has_value());
-  cr_assert(read->routes.at(0).open);
+  cr_assert(read->routes.at(0).allows_anonymous);
   cr_assert_eq(read->tenants->size(), 2);
   const relay::DeclaredTenant& guild = read->tenants->at(0);
   cr_assert_eq(guild.priority.value(), 1);
@@ -306,7 +306,7 @@
   const auto back = decode_load_message(encode(message));
   cr_assert(back.has_value());
   cr_assert_eq(back->reads.at(0).parts.at(0).id, 1ULL << 63U);
-  cr_assert_eq(back->load.at(EngineId("e")).unread_tokens, 4000);
+  cr_assert_eq(back->load.at(EngineId("e")).prefill_tokens, 4000);
   SHUNTBANK_PROPERTY("garbage is refused or read, never worse", [] {
     const auto bytes = *rc::gen::arbitrary<std::string>();
     decode_load_message(bytes);
--- a/tests/protocol/configuration_message_test.cpp
+++ b/tests/protocol/configuration_message_test.cpp
@@ -25,7 +25,7 @@
   route.priority = 2;
   route.affinity = true;
   route.resumable = true;
-  route.open = true;
+  route.allows_anonymous = true;
   configuration.routes = {route};
   relay::RelayedService service;
   service.name = ServiceName("m");
--- a/tests/protocol/configuration_summary_test.cpp
+++ b/tests/protocol/configuration_summary_test.cpp
@@ -73,7 +73,7 @@
       [](Route& r) { r.priority = 3; },
       [](Route& r) { r.affinity = true; },
       [](Route& r) { r.resumable = true; },
-      [](Route& r) { r.open = true; }};
+      [](Route& r) { r.allows_anonymous = true; }};
   const RouteConfiguration before = with_routes(40);
   for (std::size_t i = 0; i < changes.size(); ++i) {
     RouteConfiguration after = before;
--- a/tests/protocol/load_message_test.cpp
+++ b/tests/protocol/load_message_test.cpp
@@ -30,7 +30,7 @@
   const auto read = decode_load_message(encode(full_message()));
   cr_assert(read.has_value());
   cr_assert_eq(read->node, NodeId("n1"));
-  cr_assert_eq(read->load.at(EngineId("e1")).unread_tokens, 4500);
+  cr_assert_eq(read->load.at(EngineId("e1")).prefill_tokens, 4500);
   cr_assert_eq(read->load.at(EngineId("e1")).deferred_tokens, 700);
   cr_assert_eq(read->reads[0].parts[0].id, 0xabcdef0123456789);
   cr_assert(read->troubles == full_message().troubles);
--- a/tests/relay/engine_limit_test.cpp
+++ b/tests/relay/engine_limit_test.cpp
@@ -163,9 +163,9 @@
   site.run(5s);
   site.name_limit("e1", 5);
   site.run(8s);
-  relay::KeeperChoice choice(NodeId("n1"));
+  relay::LimitOwnerSelector choice(NodeId("n1"));
   choice.set_nodes({NodeId("n1"), NodeId("n2")});
-  const bool first = choice.is_first(EngineId("e1"));
+  const bool first = choice.is_preferred_owner(EngineId("e1"));
   RelayFixture& keeper = *site.fleet.sites[first ? 0 : 1];
   const auto granted = [&] {
     bool is_granted = false;
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -54,7 +54,7 @@
   fleet.runtime.advance(3s);
   for (std::size_t i = 0; i < 60; ++i) {
     cr_assert_eq(fleet.engine(i).peers->in_flight, 59, "%u", fleet.engine(i).peers->in_flight);
-    cr_assert_eq(fleet.engine(i).peers->unread_tokens, 590);
+    cr_assert_eq(fleet.engine(i).peers->prefill_tokens, 590);
   }
 }
 
@@ -81,7 +81,7 @@
   for (std::size_t i = 0; i < 60; ++i) {
     const relay::EngineView& engine = fleet.engine(i);
     cr_assert_gt(engine.avoided_until, fleet.runtime.now() - 300ms, "node %zu", i);
-    cr_assert_eq(engine.cache.kept().size(), i == 3 ? 2 : 1, "node %zu", i);
+    cr_assert_eq(engine.cache.cached_parts().size(), i == 3 ? 2 : 1, "node %zu", i);
   }
 }
 
@@ -175,7 +175,7 @@
   joins.joins = true;
   fleet.add(joins);
   fleet.runtime.advance(1s);
-  cr_assert_eq(fleet.engine(3).cache.kept().size(), 2);
+  cr_assert_eq(fleet.engine(3).cache.cached_parts().size(), 2);
 }
 
 Test(load_exchange, asks_no_longer_than_a_while_where_nobody_knows_more) {
@@ -185,7 +185,7 @@
   fleet.add(joins);
   fleet.add(joins);
   fleet.runtime.advance(20s);
-  cr_assert(fleet.engine(0).cache.kept().empty());
+  cr_assert(fleet.engine(0).cache.cached_parts().empty());
 }
 
 Test(load_exchange, tells_of_troubles_and_of_its_progress) {
--- a/tests/relay/quarantine_test.cpp
+++ b/tests/relay/quarantine_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr RequestIdentity kRequest{1, 1};
-constexpr relay::TriedRequest kTried{kRequest, 5};
+constexpr relay::CallerRequest kTried{kRequest, 5};
 const std::vector<std::string> kEngines{"a", "b", "c", "d"};
 
 /// A node with four engines.
--- a/tests/relay/relay_node_test.cpp
+++ b/tests/relay/relay_node_test.cpp
@@ -101,7 +101,7 @@
   // many.
   RelayFixture site;
   site.start_anew();
-  site.runtime.advance(counted_for(site.settings.retry_budget));
+  site.runtime.advance(charge_duration(site.settings.retry_budget));
   cr_assert_not(site.sends_again());
   site.node->set_fleet({7, 0});
   cr_assert(site.sends_again());
@@ -114,6 +114,6 @@
   site.start_anew();
   site.node->set_fleet({7, 0});
   cr_assert_not(site.sends_again());
-  site.runtime.advance(counted_for(site.settings.retry_budget));
+  site.runtime.advance(charge_duration(site.settings.retry_budget));
   cr_assert(site.sends_again());
 }
--- a/tests/relay/request_identity_test.cpp
+++ b/tests/relay/request_identity_test.cpp
@@ -16,7 +16,7 @@
   return request;
 }
 
-relay::TriedRequest identity_of(const HttpRequest& request, std::string_view tenant = "") {
+relay::CallerRequest identity_of(const HttpRequest& request, std::string_view tenant = "") {
   return relay::identity_of(request, tenant);
 }
 
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -405,7 +405,7 @@
   settings.retry_budget.slack = 80;
   start_anew();
   node->set_fleet({7, 0});
-  runtime.advance(relay::counted_for(settings.retry_budget));
+  runtime.advance(relay::charge_duration(settings.retry_budget));
 }
 
 void RelayFixture::add_engine(const std::string& id, const std::string& service,
--- a/tests/relay/tenants_test.cpp
+++ b/tests/relay/tenants_test.cpp
@@ -78,7 +78,7 @@
 Test(tenants, an_open_route_needs_no_key_and_still_names_a_known_one) {
   TenantSite site;
   auto configuration = with_tenants(3, {tenant("guild", {"g-key"})});
-  for (relay::Route& route : configuration.routes) route.open = true;
+  for (relay::Route& route : configuration.routes) route.allows_anonymous = true;
   site.node->adopt(configuration);
   site.request("/once/a", {{"tenant", "guild"}});
   cr_assert_eq(site.sent().count("tenant"), 0);
