--- a/tests/core/relay/collector_choice_test.cpp
+++ b/tests/core/relay/collector_choice_test.cpp
@@ -33,13 +33,13 @@
   cr_assert(collector_order(nodes, zone) == names({"large", "small"}));
 }
 
-Test(collector_selector, tells_two_and_listens_to_the_first) {
+Test(collector_selector, reports_to_two_and_subscribes_to_the_first) {
   const CollectorSelector selector = selector_of_three();
   cr_assert(selector.source() == NodeId("a"));
   cr_assert(selector.report_targets(kNow) == names({"a", "b"}));
 }
 
-Test(collector_selector, leaves_a_silent_collector_for_the_one_that_was_told_already) {
+Test(collector_selector, fails_over_to_the_collector_that_already_gets_reports) {
   CollectorSelector selector = selector_of_three();
   selector.on_view(kNow + 1s, NodeId("a"));
   cr_assert(!selector.poll(kNow + 1s + 400ms));
@@ -47,7 +47,7 @@
   cr_assert(selector.report_targets(kNow + 1s + 401ms) == names({"b", "c"}));
 }
 
-Test(collector_selector, stays_with_a_collector_that_speaks) {
+Test(collector_selector, keeps_a_collector_that_sends_views) {
   CollectorSelector selector = selector_of_three();
   selector.poll(kNow + 500ms);
   for (Duration at = 500ms; at < 20s; at += 100ms) {
@@ -57,7 +57,7 @@
   cr_assert(selector.source() == NodeId("b"), "though the first one is not suspected any more");
 }
 
-Test(collector_selector, begins_again_when_all_are_silent) {
+Test(collector_selector, starts_over_when_all_are_suspect) {
   CollectorSelector selector = selector_of_three();
   for (Duration at = 500ms; at < 3s; at += 500ms) selector.poll(kNow + at);
   cr_assert(selector.source().has_value());
--- a/tests/core/relay/dispatch_choice_test.cpp
+++ b/tests/core/relay/dispatch_choice_test.cpp
@@ -31,7 +31,7 @@
     this->engines.upsert(record);
   }
 
-  std::optional<DispatchPlan> choose() {
+  std::optional<DispatchPlan> plan() {
     return plan_dispatch(kNow, this->engines, this->query, {}, {});
   }
 
@@ -45,121 +45,121 @@
 
 Test(dispatch_plan, prefills_a_long_prompt_remotely) {
   Fixture fixture;
-  cr_assert(fixture.choose()->remote_prefill);
-  cr_assert_eq(fixture.choose()->placement.engine.value(), "reader");
+  cr_assert(fixture.plan()->remote_prefill);
+  cr_assert_eq(fixture.plan()->placement.engine.value(), "reader");
 }
 
-Test(dispatch_plan, reads_what_the_answering_engine_keeps_there) {
+Test(dispatch_plan, uses_the_decode_engine_that_caches_the_prompt) {
   Fixture fixture;
   fixture.engines.find(EngineId("maker"))->cache.on_read(fixture.prompt.parts, 1000000, kNow);
-  cr_assert_not(fixture.choose()->remote_prefill);
-  cr_assert_eq(fixture.choose()->placement.engine.value(), "maker");
+  cr_assert_not(fixture.plan()->remote_prefill);
+  cr_assert_eq(fixture.plan()->placement.engine.value(), "maker");
 }
 
-Test(dispatch_plan, reads_a_prompt_apart_once) {
+Test(dispatch_plan, prefills_remotely_only_once) {
   Fixture fixture;
   fixture.query.prefill_sent = true;
-  cr_assert_not(fixture.choose()->remote_prefill);
+  cr_assert_not(fixture.plan()->remote_prefill);
 }
 
-Test(dispatch_plan, takes_no_risk_of_a_refusal_without_budget) {
+Test(dispatch_plan, avoids_likely_refusals_without_retry_budget) {
   Fixture fixture;
   fixture.query.retry_budget = 0.9;
-  cr_assert(fixture.choose()->remote_prefill, "an engine that refuses nothing needs no budget");
+  cr_assert(fixture.plan()->remote_prefill, "an engine that refuses nothing needs no budget");
   fixture.engines.on_health(kNow, EngineId("reader"), AttemptHealth::kBusy);
-  cr_assert_not(fixture.choose()->remote_prefill);
+  cr_assert_not(fixture.plan()->remote_prefill);
   fixture.query.retry_budget = 1;
-  cr_assert(fixture.choose()->remote_prefill);
+  cr_assert(fixture.plan()->remote_prefill);
 }
 
-Test(dispatch_plan, reads_no_prompt_apart_that_it_could_not_pay_to_take_up) {
+Test(dispatch_plan, needs_retry_budget_for_the_decode_dispatch) {
   Fixture fixture;
   fixture.query.extra_dispatch = true;
   fixture.query.retry_budget = 0.9;
-  cr_assert_not(fixture.choose()->remote_prefill);
+  cr_assert_not(fixture.plan()->remote_prefill);
   fixture.query.retry_budget = 1;
-  cr_assert(fixture.choose()->remote_prefill);
+  cr_assert(fixture.plan()->remote_prefill);
 }
 
-Test(dispatch_plan, reads_at_the_decode_engine_when_the_readers_queue_is_long) {
+Test(dispatch_plan, prefills_at_the_decode_engine_when_the_prefill_queue_is_long) {
   Fixture fixture;
   fixture.engines.on_sent(EngineId("reader"), {500000, false});
-  cr_assert_not(fixture.choose()->remote_prefill);
+  cr_assert_not(fixture.plan()->remote_prefill);
 }
 
-Test(dispatch_plan, chooses_nothing_where_nobody_answers) {
+Test(dispatch_plan, plans_nothing_without_a_decode_engine) {
   Fixture fixture;
   fixture.engines.remove(EngineId("maker"));
-  cr_assert_not(fixture.choose().has_value());
+  cr_assert_not(fixture.plan().has_value());
 }
 
-Test(dispatch_plan, reads_no_prompt_beside_streams_that_are_nearly_late) {
+Test(dispatch_plan, does_not_prefill_beside_streams_close_to_the_gap_target) {
   // Streams came 100 to 170 ms apart where 40 was free running and 150 in time: two in five late.
   Fixture fixture;
   fixture.prompt = {{{1, 200}}, 200, 80};
   fixture.query.gap_target = std::chrono::milliseconds(150);
-  cr_assert_not(fixture.choose()->remote_prefill);
+  cr_assert_not(fixture.plan()->remote_prefill);
   fixture.engines.on_event_gap(kNow, EngineId("maker"), std::chrono::milliseconds(140));
-  cr_assert(fixture.choose()->remote_prefill);
+  cr_assert(fixture.plan()->remote_prefill);
 }
 
-Test(dispatch_plan, forgets_how_slow_streams_were) {
+Test(dispatch_plan, ignores_stale_stream_gaps) {
   Fixture fixture;
   fixture.prompt = {{{1, 200}}, 200, 80};
   fixture.query.gap_target = std::chrono::milliseconds(150);
   fixture.engines.on_event_gap(kNow - std::chrono::seconds(2), EngineId("maker"),
                                std::chrono::milliseconds(140));
-  cr_assert_not(fixture.choose()->remote_prefill);
+  cr_assert_not(fixture.plan()->remote_prefill);
 }
 
-Test(dispatch_plan, defers_what_cannot_be_in_time) {
+Test(dispatch_plan, defers_requests_that_cannot_meet_the_objective) {
   // Four times the usual requests for four seconds: each waited in turn, and all were late.
   Fixture fixture;
   fixture.query.time_to_objective = std::chrono::milliseconds(600);
-  cr_assert_not(fixture.choose()->deferred);
+  cr_assert_not(fixture.plan()->deferred);
   fixture.engines.on_sent(EngineId("reader"), {500000, false});
   fixture.engines.on_sent(EngineId("maker"), {500000, false});
-  cr_assert(fixture.choose()->deferred);
+  cr_assert(fixture.plan()->deferred);
 }
 
-Test(dispatch_plan, passes_what_is_deferred) {
+Test(dispatch_plan, does_not_wait_behind_deferred_requests) {
   Fixture fixture;
   fixture.query.time_to_objective = std::chrono::milliseconds(600);
   fixture.engines.on_sent(EngineId("maker"), {500000, false});
   fixture.engines.on_sent(EngineId("reader"), {500000, true});
   fixture.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 400000}}});
-  cr_assert_not(fixture.choose()->deferred);
+  cr_assert_not(fixture.plan()->deferred);
   fixture.engines.on_peer_load(kNow, NodeId("n2"), {{EngineId("reader"), {9, 400000, 0}}});
-  cr_assert(fixture.choose()->deferred);
+  cr_assert(fixture.plan()->deferred);
 }
 
-Test(dispatch_plan, counts_deferred_work_as_read_or_dropped) {
+Test(dispatch_plan, releases_deferred_work_once_read) {
   Fixture fixture;
-  const EngineId reader("reader");
-  fixture.engines.on_sent(reader, {5000, true});
-  fixture.engines.on_sent(reader, {3000, false});
-  fixture.engines.on_read(reader, {5000, true});
-  cr_assert_eq(fixture.engines.find(reader)->deferred_tokens, 0);
-  cr_assert_eq(fixture.engines.find(reader)->unread_tokens, 3000);
+  const EngineId prefill_engine("reader");
+  fixture.engines.on_sent(prefill_engine, {5000, true});
+  fixture.engines.on_sent(prefill_engine, {3000, false});
+  fixture.engines.on_read(prefill_engine, {5000, true});
+  cr_assert_eq(fixture.engines.find(prefill_engine)->deferred_tokens, 0);
+  cr_assert_eq(fixture.engines.find(prefill_engine)->unread_tokens, 3000);
 }
 
-// Seen: by reading. A request that would be just too late is chosen for again, behind all that can
+// Seen: by reading. A request that would be just too late is plan for again, behind all that can
 // be in time; the only engine left, which takes it after a wait for a permit, was no candidate
 // then. Cause: the second choice was taken for one that always finds what the first has found.
 // Proved by this test, which ended the process.
-Test(dispatch_plan, keeps_its_choice_where_a_limited_engine_takes_nothing_that_is_deferred) {
+Test(dispatch_plan, keeps_the_first_plan_when_no_deferred_plan_exists) {
   Fixture fixture;
   fixture.query.prefill_sent = true;
-  const EngineId maker("maker");
-  fixture.engines.on_limit(maker, {2.0, kNow});
-  fixture.engines.on_next_permit(maker, kNow + std::chrono::milliseconds(100));
-  fixture.engines.on_sent(maker, {50000, true});
-  const double expected_ms = fixture.choose()->expected_ms;
+  const EngineId decode_engine("maker");
+  fixture.engines.on_limit(decode_engine, {2.0, kNow});
+  fixture.engines.on_next_permit(decode_engine, kNow + std::chrono::milliseconds(100));
+  fixture.engines.on_sent(decode_engine, {50000, true});
+  const double expected_ms = fixture.plan()->expected_ms;
   fixture.query.time_to_objective = from_seconds(expected_ms / 0.95 / 1000);
   fixture.query.placement.max_expected_ms = to_ms(fixture.query.time_to_objective);
-  const auto chosen = fixture.choose();
-  cr_assert(chosen.has_value());
-  cr_assert_eq(chosen->placement.engine, maker);
+  const auto plan = fixture.plan();
+  cr_assert(plan.has_value());
+  cr_assert_eq(plan->placement.engine, decode_engine);
 }
 
 // Seen: on ordinary days without any limit 17 in 100 less prompt memory was moved between engines,
@@ -167,9 +167,9 @@
 // permit, none here, was taken for the cost of reading apart where that was below zero, as it is at
 // the home of a prompt's shared part. Cause: a cost with preferences in it compared to a time.
 // Proved by this test, and by the same days before and after.
-Test(dispatch_plan, reads_apart_at_the_home_of_a_prompt_of_which_the_taker_keeps_a_little) {
+Test(dispatch_plan, prefills_remotely_at_the_home_of_a_partly_cached_prompt) {
   Fixture fixture;
   fixture.prompt = {{{1, 3000}, {3, 6000}, {2, 1000}}, 10000, 80};
   fixture.engines.find(EngineId("maker"))->cache.on_read({{1, 3000}}, 1000000, kNow);
-  cr_assert(fixture.choose()->remote_prefill);
+  cr_assert(fixture.plan()->remote_prefill);
 }
--- a/tests/core/relay/keeper_choice_test.cpp
+++ b/tests/core/relay/keeper_choice_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Test(limit_owner_selector, is_the_same_at_all_nodes_and_spread_over_engines) {
+Test(limit_owner_selector, agrees_across_nodes_and_spreads_engines) {
   LimitOwnerSelector one(NodeId("n0"));
   LimitOwnerSelector other(NodeId("n4"));
   one.set_nodes(nodes(7));
@@ -35,7 +35,7 @@
   cr_assert_eq(owners.size(), 7);
 }
 
-Test(limit_owner_selector, passes_over_who_is_silent_and_comes_back_to_it) {
+Test(limit_owner_selector, skips_an_unresponsive_node_until_it_answers) {
   LimitOwnerSelector selector(NodeId("outside"));
   selector.set_nodes(nodes(3));
   const NodeId first = *selector.owner(kNow, kEngine);
@@ -54,7 +54,7 @@
   cr_assert(selector.owner(timed_out + 1s, kEngine) == first);
 }
 
-Test(limit_owner_selector, knows_none_where_nobody_answers) {
+Test(limit_owner_selector, selects_none_when_no_candidate_answers) {
   LimitOwnerSelector selector(NodeId("outside"));
   selector.set_nodes(nodes(3));
   for (const NodeId& node : nodes(3)) selector.on_request_sent(kNow, node);
--- a/tests/core/relay/load_collector_test.cpp
+++ b/tests/core/relay/load_collector_test.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-Test(load_collector, sums_up_the_newest_word_of_each_node) {
+Test(load_collector, sums_the_newest_report_of_each_node) {
   LoadCollector collector{LoadCollectorSettings{}};
   cr_assert(collector.on_member_load(kNow, NodeId("a"), member(2, 3)));
   cr_assert(!collector.on_member_load(kNow, NodeId("a"), member(1, 9)), "late");
@@ -36,14 +36,14 @@
   cr_assert_eq(subscribers[0].last_sequence, 2);
 }
 
-Test(load_collector, takes_a_node_that_started_again) {
+Test(load_collector, accepts_a_restarted_node) {
   LoadCollector collector{LoadCollectorSettings{}};
   collector.on_member_load(kNow, NodeId("a"), member(90, 3));
   cr_assert(collector.on_member_load(kNow, NodeId("a"), {{8, 1}, {}, true}));
   cr_assert(collector.zone_load().empty());
 }
 
-Test(load_collector, forgets_who_is_silent) {
+Test(load_collector, expires_silent_nodes) {
   LoadCollector collector{LoadCollectorSettings{}};
   collector.on_member_load(kNow, NodeId("a"), member(1, 3));
   collector.on_zone_load(kNow, zone("c1", 1, 9, 5));
@@ -52,7 +52,7 @@
   cr_assert(collector.fleet_load(kNow + 3s).empty());
 }
 
-Test(load_collector, counts_a_zone_once_by_the_collector_that_knows_most) {
+Test(load_collector, counts_a_zone_once_by_the_collector_with_most_nodes) {
   LoadCollector collector{LoadCollectorSettings{}};
   collector.on_member_load(kNow, NodeId("a"), member(1, 1));
   cr_assert(collector.on_zone_load(kNow, zone("c1", 1, 9, 5)));
--- a/tests/core/relay/permit_schedule_test.cpp
+++ b/tests/core/relay/permit_schedule_test.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Test(permit_schedule, spaces_sends_and_says_when_the_next_one_may_leave) {
+Test(permit_schedule, spaces_sends_and_predicts_the_next) {
   PermitSchedule schedule;
   schedule.reset(kNow, 2);
   cr_assert_not(schedule.take(kNow, 2, kNow + 400ms).has_value(), "no burst at its beginning");
@@ -31,7 +31,7 @@
   cr_assert_eq(schedule.next(later, 2), later + 500ms);
 }
 
-Test(permit_schedule, lets_one_in_ten_seconds_ask_an_engine_that_takes_nothing) {
+Test(permit_schedule, grants_one_permit_in_ten_seconds_at_rate_zero) {
   PermitSchedule schedule;
   schedule.reset(kNow, 0);
   cr_assert_not(schedule.take(kNow + 9s, 0, kNow + 9s).has_value());
@@ -39,7 +39,7 @@
   cr_assert_not(schedule.take(kNow + 10s, 0, kNow + 19s).has_value());
 }
 
-Test(permit_schedule, holds_in_every_window_and_is_used) {
+Test(permit_schedule, bounds_every_window_and_uses_the_rate) {
   SHUNTBANK_PROPERTY("sends in a window", [] {
     const double per_second = *rc::gen::inRange(2, 500) / 10.0;
     PermitSchedule schedule;
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -55,16 +55,16 @@
   cr_assert_eq(one.choose()->engine, other.choose()->engine);
 }
 
-Test(placement, leaves_out_what_drains_has_another_stage_or_was_met) {
+Test(placement, excludes_draining_other_stage_and_excluded_engines) {
   Fleet fleet;
   for (int i = 0; i < 4; ++i) {
-    EngineRecord leaving = engine("p" + std::to_string(i), EngineStage::kPrefill);
-    leaving.draining = true;
-    fleet.engines.upsert(leaving);
+    EngineRecord draining = engine("p" + std::to_string(i), EngineStage::kPrefill);
+    draining.draining = true;
+    fleet.engines.upsert(draining);
   }
   cr_assert_eq(fleet.choose()->engine.value(), "p4");
-  const std::vector<EngineId> met{EngineId("p4")};
-  fleet.query.excluded_engines = &met;
+  const std::vector<EngineId> excluded{EngineId("p4")};
+  fleet.query.excluded_engines = &excluded;
   cr_assert_not(fleet.choose().has_value());
 }
 
@@ -79,7 +79,7 @@
   cr_assert(fleet.choose().has_value());
 }
 
-Test(placement, fetches_kept_parts_when_their_engine_is_loaded) {
+Test(placement, fetches_cached_parts_when_their_engine_is_loaded) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
   fleet.engines.find(home)->cache.on_read(fleet.prompt.parts, 1000000, kNow);
@@ -107,7 +107,7 @@
   cr_assert_neq(fleet.choose()->engine, home);
 }
 
-Test(placement, counts_what_other_nodes_have_under_way) {
+Test(placement, counts_the_load_of_other_nodes) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
   fleet.engines.on_peer_load(kNow, NodeId("n2"), {{home, {3, 90000}}});
@@ -116,14 +116,14 @@
   cr_assert_eq(fleet.choose()->engine, home);
 }
 
-Test(placement, assumes_parts_at_their_home_after_a_restart) {
+Test(placement, assumes_parts_cached_at_home_after_a_restart) {
   Fleet fleet;
   cr_assert_eq(fleet.choose()->prefill_tokens, 15000);
   fleet.query.cache_view_incomplete = true;
   cr_assert_eq(fleet.choose()->prefill_tokens, 3000);
 }
 
-Test(placement, spreads_prompts_that_nodes_place_on_the_same_view) {
+Test(placement, spreads_prompts_placed_on_a_shared_view) {
   // Seen at 66 nodes in an overload: all chose the engine that waited least, until the next view.
   Fleet fleet;
   fleet.engines.set_shared_view_age(200ms);
@@ -142,7 +142,7 @@
   for (const auto& [engine, requests] : chosen) cr_assert_lt(requests, 45, "%d", requests);
 }
 
-Test(placement, does_not_spread_where_engines_stand_idle) {
+Test(placement, does_not_spread_over_idle_engines) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
   fleet.engines.set_shared_view_age(200ms);
@@ -152,7 +152,7 @@
   }
 }
 
-Test(engine_directory, keeps_an_engine_draining_whatever_comes_late) {
+Test(engine_directory, keeps_draining_despite_late_records) {
   EngineDirectory engines;
   EngineRecord record = engine("e", EngineStage::kDecode);
   record.draining = true;
@@ -162,7 +162,7 @@
   cr_assert(engines.find(EngineId("e"))->record.draining);
 }
 
-Test(prompt_cache, keeps_what_was_used_last) {
+Test(prompt_cache, evicts_the_least_recently_used_part) {
   PromptCacheView cache;
   const PromptShape old{{{1, 600}}, 600, 1};
   const PromptShape recent{{{2, 600}}, 600, 1};
@@ -172,7 +172,7 @@
   cr_assert_eq(cache.cached_tokens(recent), 600);
 }
 
-Test(stage_planner, counts_an_order_under_way_as_done) {
+Test(stage_planner, counts_an_order_in_progress_as_done) {
   // Without it the planner ordered again before the first order showed, and back afterwards:
   // quiet-1 at petalwire fell from 0.846 to 0.364.
   Fleet fleet;
@@ -192,7 +192,7 @@
   cr_assert_eq(orders, 2);
 }
 
-Test(stage_planner, leaves_engines_that_decode) {
+Test(stage_planner, keeps_the_minimum_of_decode_engines) {
   Fleet fleet;
   for (int i = 0; i < 5; ++i) {
     const auto stage = i < 2 ? EngineStage::kDecode : EngineStage::kPrefill;
--- a/tests/core/relay/retry_budget_test.cpp
+++ b/tests/core/relay/retry_budget_test.cpp
@@ -22,7 +22,7 @@
 /// What the fleet has done, in milliseconds from the beginning; in order of time.
 struct FleetHistory {
   std::vector<int> requests;
-  std::vector<int> extras;
+  std::vector<int> extra_dispatches;
 };
 
 long count_within(const std::vector<int>& times, int begin, int end) {
@@ -40,8 +40,9 @@
   };
   const long requests = std::max(
       {requests_from(begin), requests_from(begin - window), requests_from(begin - window / 2)});
-  const auto extras = static_cast<double>(count_within(history.extras, begin, begin + window));
-  return extras - settings.ratio * static_cast<double>(requests) - settings.slack;
+  const auto extra_dispatches =
+      static_cast<double>(count_within(history.extra_dispatches, begin, begin + window));
+  return extra_dispatches - settings.ratio * static_cast<double>(requests) - settings.slack;
 }
 
 /// @return the most that a window has beyond the bound; it is among those that begin or end with an
@@ -49,7 +50,7 @@
 double worst_excess(const FleetHistory& history, const RetryBudgetSettings& settings) {
   const int window = static_cast<int>(to_ms(settings.window));
   double worst = -settings.slack;
-  for (const int time : history.extras) {
+  for (const int time : history.extra_dispatches) {
     worst = std::max(worst, excess_from(time, history, settings));
     worst = std::max(worst, excess_from(time - window + 1, history, settings));
   }
@@ -60,7 +61,7 @@
   return MonotonicTime{std::chrono::milliseconds(ms)};
 }
 
-RetryBudgetSettings incident_settings() {
+RetryBudgetSettings fleet_settings() {
   RetryBudgetSettings settings;
   settings.ratio = 0.2;
   settings.window = std::chrono::seconds(10);
@@ -69,85 +70,86 @@
 }
 
 /// Requests a second of the whole fleet: high and low by turns, 2.8 s each.
-double incident_load(int now_ms) {
+double oscillating_load(int now_ms) {
   constexpr int kPhaseMs = 2800;
   return now_ms / kPhaseMs % 2 == 0 ? 1600 : 500;
 }
 
 }  // namespace
 
-Test(retry_budget, holds_over_the_fleet_while_the_load_rises_and_falls) {
+Test(retry_budget, bounds_the_fleet_under_oscillating_load) {
   constexpr int kNodes = 66;
   constexpr int kLengthMs = 34000;
-  const RetryBudgetSettings settings = incident_settings();
+  const RetryBudgetSettings settings = fleet_settings();
   const SlackShare share{settings.slack / kNodes, {}};
   std::vector<RetryBudget> budgets(kNodes, RetryBudget(settings, share));
   FleetHistory history;
-  double owed = 0;
+  double pending_requests = 0;
   for (int now_ms = 0; now_ms < kLengthMs; ++now_ms) {
-    for (owed += incident_load(now_ms) / 1000; owed >= 1; --owed) {
-      const auto lot = hash64("request", history.requests.size());
-      budgets[lot % kNodes].on_request(at_ms(now_ms));
+    for (pending_requests += oscillating_load(now_ms) / 1000; pending_requests >= 1;
+         --pending_requests) {
+      const auto node_hash = hash64("request", history.requests.size());
+      budgets[node_hash % kNodes].on_request(at_ms(now_ms));
       history.requests.push_back(now_ms);
     }
     // Engines refuse throughout: each node spends what it may as soon as it may.
     for (RetryBudget& budget : budgets) {
-      while (budget.try_spend(at_ms(now_ms))) history.extras.push_back(now_ms);
+      while (budget.try_spend(at_ms(now_ms))) history.extra_dispatches.push_back(now_ms);
     }
   }
   const double excess = worst_excess(history, settings);
   cr_assert_leq(excess, 0.0, "%.0f extra dispatches too many in one window", excess);
 }
 
-Test(retry_budget, holds_over_all_nodes_in_every_window) {
+Test(retry_budget, bounds_all_nodes_in_every_window) {
   SHUNTBANK_PROPERTY("however requests come and nodes spend and start again", [] {
     RetryBudgetSettings settings;
     settings.slack = 54;
     const auto nodes = *rc::gen::inRange<std::size_t>(1, 9);
-    const double each = settings.slack / static_cast<double>(nodes);
-    std::vector<RetryBudget> budgets(nodes, RetryBudget(settings, SlackShare{each, {}}));
+    const double share = settings.slack / static_cast<double>(nodes);
+    std::vector<RetryBudget> budgets(nodes, RetryBudget(settings, SlackShare{share, {}}));
     FleetHistory history;
     int now_ms = 0;
     for (int i = 0; i < 400; ++i) {
       now_ms += *rc::gen::inRange(0, 300);
       RetryBudget& budget = budgets[*rc::gen::inRange<std::size_t>(0, nodes)];
       const MonotonicTime now = at_ms(now_ms);
-      const int what = *rc::gen::inRange(0, 40);
-      if (what == 0) {
+      const int action = *rc::gen::inRange(0, 40);
+      if (action == 0) {
         // The process starts again.
-        budget = RetryBudget(settings, {each, now + charge_duration(settings)});
-      } else if (what < 12) {
+        budget = RetryBudget(settings, {share, now + charge_duration(settings)});
+      } else if (action < 12) {
         const int burst = *rc::gen::inRange(1, 30);
         for (int request = 0; request < burst; ++request) budget.on_request(now);
         history.requests.insert(history.requests.end(), static_cast<std::size_t>(burst), now_ms);
       } else {
-        while (budget.try_spend(now)) history.extras.push_back(now_ms);
+        while (budget.try_spend(now)) history.extra_dispatches.push_back(now_ms);
       }
     }
     RC_ASSERT(worst_excess(history, settings) <= 0);
   });
 }
 
-Test(retry_budget, lets_a_steady_load_spend_the_whole_ratio) {
+Test(retry_budget, allows_a_steady_load_to_spend_the_whole_ratio) {
   // The bound must not cost what it need not: in a steady load all of it can be spent.
   RetryBudgetSettings settings;
   settings.slack = 0;
   RetryBudget budget(settings, {});
   int spent = 0;
-  constexpr int kRequestsASecond = 100;
+  constexpr int kRequestsPerSecond = 100;
   for (int second = 0; second < 60; ++second) {
-    for (int i = 0; i < kRequestsASecond; ++i) {
+    for (int i = 0; i < kRequestsPerSecond; ++i) {
       const MonotonicTime now = at_ms(second * 1000 + i * 10);
       budget.on_request(now);
       if (budget.try_spend(now) && second >= 30) ++spent;
     }
   }
   // Dispatches count for a tenth of a window longer than requests do, and slots round down.
-  constexpr double kWhole = 30 * kRequestsASecond * 0.2;
-  cr_assert_geq(spent, kWhole * 0.85, "%d of %.0f", spent, kWhole);
+  constexpr double kFullRatio = 30 * kRequestsPerSecond * 0.2;
+  cr_assert_geq(spent, kFullRatio * 0.85, "%d of %.0f", spent, kFullRatio);
 }
 
-Test(retry_budget, lets_one_failure_repeat_what_was_under_way) {
+Test(retry_budget, allows_retrying_in_flight_requests_after_a_crash) {
   // An engine that crashes fails all that it had at once: half of a window's ratio is at hand.
   RetryBudgetSettings settings;
   settings.slack = 0;
--- a/tests/core/relay/routes_test.cpp
+++ b/tests/core/relay/routes_test.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 Route route(const std::string& name, const std::string& host, const std::string& prefix) {
-  Route made;
-  made.name = name;
-  made.host = host;
-  made.path_prefix = prefix;
-  made.split = {{ServiceName("s"), 1}};
-  return made;
+  Route result;
+  result.name = name;
+  result.host = host;
+  result.path_prefix = prefix;
+  result.split = {{ServiceName("s"), 1}};
+  return result;
 }
 
-RouteConfiguration with(std::vector<Route> routes) {
+RouteConfiguration configuration_with(std::vector<Route> routes) {
   RouteConfiguration configuration;
   configuration.version = 1;
   configuration.routes = std::move(routes);
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-Test(routes, takes_the_longest_prefix_of_the_host) {
-  const RouteTable table(
-      with({route("short", "a", "/x/"), route("long", "a", "/x/y/"), route("other", "b", "/x/")}));
+Test(routes, matches_the_longest_prefix_of_the_host) {
+  const RouteTable table(configuration_with(
+      {route("short", "a", "/x/"), route("long", "a", "/x/y/"), route("other", "b", "/x/")}));
   cr_assert_eq(table.find("a", "/x/y/z")->name, "long");
   cr_assert_eq(table.find("A:8080", "/x/z")->name, "short");
   cr_assert_eq(table.find("b", "/x/y/z")->name, "other");
@@ -39,7 +39,7 @@
 }
 
 Test(routes, reports_all_findings_with_their_places) {
-  auto configuration = with({route("r", "", "x"), route("r", "", "x")});
+  auto configuration = configuration_with({route("r", "", "x"), route("r", "", "x")});
   configuration.routes[0].split = {{ServiceName("missing"), -1}};
   configuration.routes[1].max_attempts = 0;
   configuration.routes[1].resumable = true;
@@ -62,17 +62,17 @@
       total += weights[i];
     }
     SplitChooser chooser(*rc::gen::inRange(0, 100) / 100.0);
-    std::map<ServiceName, double> taken;
+    std::map<ServiceName, double> choices;
     for (int n = 1; n <= 300; ++n) {
-      ++taken[chooser.choose(split)];
+      ++choices[chooser.choose(split)];
       for (const SplitPart& part : split.split) {
-        RC_ASSERT(std::abs(taken[part.service] - n * part.weight / total) <= 4);
+        RC_ASSERT(std::abs(choices[part.service] - n * part.weight / total) <= 4);
       }
     }
   });
 }
 
-Test(routes, tells_what_an_operator_hardly_means_with_its_place_and_serves_it) {
+Test(routes, warns_of_suspicious_configuration_but_accepts_it) {
   RouteConfiguration configuration;
   RelayedService service;
   service.name = ServiceName("s");
