--- a/src/core/relay/dispatch_choice.cpp
+++ b/src/core/relay/dispatch_choice.cpp
@@ -58,8 +58,8 @@
   auto prefill_placement = place_in_stage(now, engines, query, EngineStage::kPrefill, placement);
   if (!prefill_placement || query.retry_budget >= prefill.min_retry_budget)
     return prefill_placement;
-  const bool avoided = engines.find(prefill_placement->engine)->avoided_until > now;
-  return query.extra_dispatch || avoided ? std::nullopt : prefill_placement;
+  const bool backed_off = engines.find(prefill_placement->engine)->avoided_until > now;
+  return query.extra_dispatch || backed_off ? std::nullopt : prefill_placement;
 }
 
 DispatchPlan direct_dispatch(const Placement& decode) {
--- a/src/core/relay/placement.cpp
+++ b/src/core/relay/placement.cpp
@@ -23,12 +23,12 @@
 std::vector<EngineView*> candidates(MonotonicTime now, EngineDirectory& engines,
                                     const PlacementQuery& query) {
   std::vector<EngineView*> healthy;
-  std::vector<EngineView*> avoided;
+  std::vector<EngineView*> backed_off;
   for (EngineView* engine : engines.of_service(query.service->name)) {
     if (!is_candidate(now, *engine, query)) continue;
-    (engine->avoided_until > now ? avoided : healthy).push_back(engine);
+    (engine->avoided_until > now ? backed_off : healthy).push_back(engine);
   }
-  return healthy.empty() ? avoided : healthy;
+  return healthy.empty() ? backed_off : healthy;
 }
 
 double rendezvous_weight(std::uint64_t part, const EngineId& engine) {
