--- a/src/core/relay/attempt_outcome.hpp
+++ b/src/core/relay/attempt_outcome.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What is known of one attempt that brought no answer to pass on, and what may follow from it.
+/// Outcome of an attempt that yielded no answer to forward, and whether to retry.
 #pragma once
 
 #include <cstdint>
@@ -8,40 +8,39 @@
 
 namespace shuntbank::relay {
 
-/// What is known of an attempt that failed.
+/// How an attempt failed.
 enum class AttemptOutcome {
-  kNotSent,    ///< No byte of the request can have reached the engine.
-  kRefused,    ///< The engine said that it did not run the request.
-  kUncertain,  ///< The engine may have run the request, in part or wholly.
+  kNotSent,    ///< No byte of the request reached the engine.
+  kRefused,    ///< The engine answered that it did not run the request.
+  kUncertain,  ///< The engine may have run the request, at least in part.
 };
 
-/// How far a request has come.
+/// Progress of a request over its attempts.
 struct AttemptHistory {
-  std::uint32_t sends = 0;  ///< Attempts of which a byte may have left.
-  std::uint32_t may_have_run =
-      0;                        ///< Attempts that ended uncertain or with an engine's own failure.
-  bool head_forwarded = false;  ///< The caller has the head of a stream.
-  bool prefill_sent = false;    ///< The prompt was sent to be read apart, once.
-  /// An engine may have seen the request, so that each further send is an extra dispatch. A prompt
-  /// that was sent first and read apart belongs to the send that takes it up.
+  std::uint32_t sends = 0;         ///< Attempts of which a byte may have been sent.
+  std::uint32_t may_have_run = 0;  ///< Attempts that ended uncertain or with an engine's failure.
+  bool head_forwarded = false;     ///< The response head of a stream was forwarded to the caller.
+  bool prefill_sent = false;       ///< A remote prefill was attempted; there is at most one.
+  /// An engine may have received the request, so that each further send is an extra dispatch. A
+  /// remote prefill counts as part of the decode dispatch that follows it.
   bool may_have_arrived = false;
 };
 
-/// What happens next.
+/// What to do after a failed attempt.
 enum class AttemptVerdict {
-  kTryElsewhere,   ///< Another engine may get it.
-  kRefuse,         ///< Final answer: it has not run and never will.
-  kFailUncertain,  ///< Final answer without a promise, or a broken connection.
+  kTryElsewhere,   ///< Retry at another engine.
+  kRefuse,         ///< Final answer: the request has not run and never will.
+  kFailUncertain,  ///< Final answer or broken connection: the request may have run.
 };
 
-/// Largest number of engines that one request is offered to, refusals included.
+/// Maximum sends of one request, including refused ones.
 constexpr std::uint32_t kMaxSends = 4;
 
-/// Decides what follows a failed attempt, apart from the retry budget and the engines at hand.
+/// Decides what to do after a failed attempt, leaving aside retry budget and available engines.
 /// @param history includes the attempt that failed.
 AttemptVerdict after_failure(const Route& route, const AttemptHistory& history);
 
-/// @return whether a refusal that promises "not run" is true.
+/// @return whether the caller may be told that the request has not run.
 inline bool known_not_run(const AttemptHistory& history) {
   return history.may_have_run == 0;
 }
--- a/src/core/relay/collector_choice.cpp
+++ b/src/core/relay/collector_choice.cpp
@@ -52,7 +52,7 @@
   const auto responsive =
       std::find_if(this->order.begin(), this->order.end(),
                    [&](const NodeId& node) { return !this->is_suspect(now, node); });
-  // Where all are suspected, it is rather this node that was cut off or stood still.
+  // If all are suspect, this node itself was probably partitioned or stalled.
   if (responsive == this->order.end()) this->suspect_until.clear();
   this->current = responsive == this->order.end() ? this->order.front() : *responsive;
   this->last_view_at = now;
@@ -62,7 +62,7 @@
   std::vector<NodeId> nodes;
   if (!this->current) return nodes;
   nodes.push_back(*this->current);
-  // Suspected ones only where no others are left: they may be back.
+  // Suspects fill up the list only after all others.
   for (const bool suspect : {false, true}) {
     for (const NodeId& node : this->order) {
       if (nodes.size() >= this->settings.report_count) return nodes;
--- a/src/core/relay/collector_choice.hpp
+++ b/src/core/relay/collector_choice.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Which nodes of a zone gather the load of its nodes, and which of them a node listens to.
+/// Selects the load collectors of a zone: the nodes that a node reports its load to, and the one
+/// that it subscribes to.
 ///
-/// No election and no lease: every node ranks the nodes of its zone alike and tells the first two
-/// that it does not take for dead. Two nodes that collect at once do no harm, since each hands on a
-/// sum of what it was told itself.
+/// There is no election and no lease: all nodes rank the nodes of a zone alike and report to the
+/// first two that they do not suspect. Concurrent collectors do no harm, as each sums only what was
+/// reported to it.
 #pragma once
 
 #include <map>
@@ -16,11 +17,11 @@
 
 namespace shuntbank::relay {
 
-/// A relay node as it is registered.
+/// A registered relay node.
 struct PeerRecord {
   std::string address;  ///< IP:PORT for messages between nodes.
   ZoneName zone;
-  double capacity = 0;  ///< Of the machine, in cores; collectors are the larger ones.
+  double capacity = 0;  ///< CPU cores of the machine; larger machines are preferred as collectors.
 
   bool operator==(const PeerRecord&) const = default;
 };
@@ -28,48 +29,46 @@
 /// Nodes by name.
 using PeerRecords = std::map<NodeId, PeerRecord>;
 
-/// @return the nodes of a zone, those that should collect first: larger machines first, and by a
-/// hash among equal ones. All who know the same nodes get the same order.
+/// @return the nodes of a zone by preference as collector: by descending capacity, then by hash.
+/// Equal on all nodes that know the same records.
 std::vector<NodeId> collector_order(const PeerRecords& nodes, const ZoneName& zone);
 
-/// Tunables of the choice.
+/// Tunables of the selection.
 struct CollectorSelectorSettings {
-  std::size_t report_count =
-      2;  ///< Collectors that a node tells, so that one may fail without a gap.
-  /// A collector that was asked for the view and has not sent it for so long is taken for dead.
-  /// Three or four views are missing then.
+  std::size_t report_count = 2;  ///< Collectors to report to, so that one may fail without a gap.
+  /// A collector that sends no view for this long (three or four views missed) is suspected.
   Duration view_timeout = std::chrono::milliseconds(400);
-  /// After so much silence it is asked again: the message may be lost, or came too early for it.
+  /// The view is requested again after this long, as the request may have been lost or early.
   Duration view_request_interval = std::chrono::milliseconds(150);
-  /// For so long another one is preferred; a restart of a process takes about as long.
+  /// How long a suspected collector is not selected; about the time of a process restart.
   Duration suspect_duration = std::chrono::seconds(5);
 };
 
-/// The collectors of one node.
+/// The collectors that one node uses.
 class CollectorSelector {
  public:
   explicit CollectorSelector(const CollectorSelectorSettings& own_settings)
       : settings(own_settings) {}
 
-  /// Takes the order of the zone's nodes.
+  /// Sets the ranked nodes of the zone; see `collector_order`.
   void set_order(std::vector<NodeId> nodes);
 
-  /// The collector has sent the view.
+  /// Records a view from the collector.
   void on_view(MonotonicTime now, const NodeId& collector);
 
-  /// Chooses again where the present collector is silent.
-  /// @return the collector that was given up, if one was.
+  /// Replaces the current collector if its views have timed out. @return the replaced collector, if
+  /// any.
   std::optional<NodeId> poll(MonotonicTime now);
 
-  /// @return whether the collector should be asked again.
+  /// @return whether to request the view again.
   bool should_request_view(MonotonicTime now) const {
     return this->current && now - this->last_view_at > this->settings.view_request_interval;
   }
 
-  /// @return the collector that is asked for the view, if there is any.
+  /// @return the collector that this node requests the view from, if any.
   const std::optional<NodeId>& source() const { return this->current; }
 
-  /// @return the collectors that are told this node's load, the source first.
+  /// @return the collectors to report this node's load to, the source first.
   std::vector<NodeId> report_targets(MonotonicTime now) const;
 
  private:
@@ -79,7 +78,8 @@
   CollectorSelectorSettings settings;
   std::vector<NodeId> order;
   std::optional<NodeId> current;
-  MonotonicTime last_view_at{};  ///< Of the current one; the time of the choice before that.
+  MonotonicTime last_view_at{};  ///< From the current collector; until its first view, the time of
+                                 ///< its selection.
   std::map<NodeId, MonotonicTime> suspect_until;
 };
 
--- a/src/core/relay/dispatch_choice.cpp
+++ b/src/core/relay/dispatch_choice.cpp
@@ -17,13 +17,13 @@
   return engines.find(placement.engine)->requests_there(now);
 }
 
-/// @return milliseconds from the reading of a prompt apart to its first token.
+/// @return milliseconds from the end of a remote prefill to the first token.
 double handover_ms(const EngineDirectory& engines, const DispatchQuery& query) {
   return engines.model_of(query.placement.service->name).handover_ms() +
          query.placement.service->model->transfer_ms(query.placement.prompt->prompt_tokens);
 }
 
-/// Reading where tokens are made holds up every stream that runs there.
+/// A prefill at a decode engine stalls every stream that runs there.
 double direct_cost_ms(MonotonicTime now, const EngineDirectory& engines, const DispatchQuery& query,
                       const Placement& decode, const PrefillSettings& settings) {
   const EngineModel& model = engines.model_of(query.placement.service->name);
@@ -32,7 +32,7 @@
   return decode.cost_ms + reading * streams * settings.stalled_stream_weight;
 }
 
-/// @return whether the streams at a decode engine stay in time while it reads the prompt.
+/// @return whether the streams at a decode engine stay within the gap target while it prefills.
 bool streams_stay_in_time(MonotonicTime now, const EngineDirectory& engines,
                           const DispatchQuery& query, const Placement& decode,
                           const PrefillSettings& settings) {
@@ -49,8 +49,8 @@
   return query.placement.prompt != nullptr && !query.prefill_sent;
 }
 
-/// @return the engine that would read the prompt apart, unless the budget bears no send after it
-/// and one is sure or likely to be charged.
+/// @return the engine for a remote prefill, or nothing if a charged dispatch is certain or likely
+/// to follow and the retry budget does not allow it.
 std::optional<Placement> place_prefill(MonotonicTime now, EngineDirectory& engines,
                                        const DispatchQuery& query,
                                        const PlacementSettings& placement,
@@ -66,14 +66,14 @@
   return {false, decode, {}, decode.expected_ms, false};
 }
 
-/// The prompt is read while its taker's permit is waited for.
+/// The prefill overlaps with the wait for the decode engine's permit.
 DispatchPlan remote_prefill_dispatch(const Placement& prefill_placement, const Placement& decode,
                                      double permit_ms, double handover) {
   return {true, prefill_placement, decode,
           std::max(prefill_placement.expected_ms, permit_ms) + handover, false};
 }
 
-/// Chooses without regard to the objective.
+/// Plans regardless of the objective.
 std::optional<DispatchPlan> plan_ignoring_objective(MonotonicTime now, EngineDirectory& engines,
                                                     const DispatchQuery& query,
                                                     const PlacementSettings& placement,
@@ -93,7 +93,7 @@
   if (permit_ms > 0 && too_late) return direct_dispatch(*decode);
   if (!streams_stay_in_time(now, engines, query, *decode, prefill)) return remote;
   const double direct_cost = direct_cost_ms(now, engines, query, *decode, prefill);
-  // The wait for the permit is in the cost of the direct way, and passes while the prompt is read.
+  // The direct cost includes the permit wait; a remote prefill overlaps with it.
   const double remaining_permit_ms = std::max(0.0, permit_ms - prefill_placement->expected_ms);
   const double remote_cost = prefill_placement->cost_ms + remaining_permit_ms + handover;
   return remote_cost < direct_cost ? remote : direct_dispatch(*decode);
@@ -117,7 +117,7 @@
   DispatchQuery deferred_query = query;
   deferred_query.placement.deferred = true;
   auto deferred = plan_ignoring_objective(now, engines, deferred_query, placement, prefill);
-  // A limited engine may take it in time only ahead of what can wait.
+  // A rate-limited engine may be a candidate only if the request is not deferred.
   if (!deferred) return plan;
   deferred->deferred = true;
   return deferred;
--- a/src/core/relay/dispatch_choice.hpp
+++ b/src/core/relay/dispatch_choice.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Chooses how a request is sent: whole to one engine, or its prompt first to a prefill engine that
-/// hands it over.
+/// Plans how a request is dispatched: directly to one engine, or with a remote prefill whose result
+/// is handed over to a decode engine.
 #pragma once
 
 #include <cstdint>
@@ -10,49 +10,49 @@
 
 namespace shuntbank::relay {
 
-/// When reading a prompt at an engine of its own pays.
+/// When a remote prefill pays off.
 struct PrefillSettings {
-  /// Of the longest pause between events that still counts as in time: a decode engine whose
-  /// streams are slower than this, or would be, reads no prompts beside them.
+  /// Share of the gap target; a decode engine whose gaps are larger, or would be during the
+  /// prefill, is not chosen to prefill.
   double pause_share = 0.8;
-  double stalled_stream_weight = 0.4;  ///< Of reading time, for each stream that it holds up.
-  /// Of the time left to the objective: a request whose first token is expected later is deferred.
+  double stalled_stream_weight = 0.4;  ///< Cost per stalled stream, as a share of the prefill time.
+  /// Share of the time left to the objective; a request whose first token is expected later is
+  /// deferred.
   double in_time_share = 0.9;
-  /// Of the retry budget: with less, no prompt is read apart whose taking up is an extra dispatch,
-  /// nor at an engine that has just refused others, as the request could not go on afterwards.
+  /// With a smaller budget there is no remote prefill if the decode dispatch is an extra one or the
+  /// prefill engine is in backoff, as a retry could not be paid for.
   double min_retry_budget = 1;
 };
 
-/// What is asked of the choice.
+/// Input of `plan_dispatch`.
 struct DispatchQuery {
-  PlacementQuery placement;                ///< Its stage is left to the choice.
-  bool prefill_sent = false;               ///< The prompt was sent to be read apart before.
-  bool extra_dispatch = false;             ///< Each send is charged to the retry budget.
-  double retry_budget = 0;                 ///< What the next send leaves of the retry budget.
-  Duration gap_target = Duration::zero();  ///< Longest pause between events; zero: unset.
-  /// Left of the time within which an answer has its full worth; may be negative.
+  PlacementQuery placement;     ///< Its stage is ignored.
+  bool prefill_sent = false;    ///< A remote prefill was already attempted or is ruled out.
+  bool extra_dispatch = false;  ///< The next dispatch is charged to the retry budget.
+  double retry_budget = 0;      ///< Retry budget left after the next dispatch.
+  Duration gap_target = Duration::zero();  ///< Maximum gap between events; zero: unset.
+  /// Time left to the route's objective; may be negative.
   Duration time_to_objective = Duration::max();
 };
 
-/// The choice and what spoke for it.
+/// The chosen dispatch and its estimates.
 struct DispatchPlan {
-  bool remote_prefill = false;  ///< The engine only reads the prompt; another one answers.
+  bool remote_prefill = false;  ///< `placement` only prefills; `decode` answers.
   Placement placement;
-  Placement decode;        ///< Where the prompt is read first: the engine that then answers.
-  double expected_ms = 0;  ///< Until the first token.
-  bool deferred = false;   ///< Cannot be in time, and so waits deferred_query what can.
+  Placement decode;        ///< Decode engine of a remote prefill.
+  double expected_ms = 0;  ///< Expected time to first token.
+  bool deferred = false;   ///< Cannot meet the objective, so waits behind requests that can.
 };
 
-/// @return how to send the request, or nothing when no engine can be chosen.
+/// @return how to dispatch the request, or nothing if no engine is available.
 std::optional<DispatchPlan> plan_dispatch(MonotonicTime now, EngineDirectory& engines,
                                           const DispatchQuery& query,
                                           const PlacementSettings& placement,
                                           const PrefillSettings& prefill);
 
-/// Where all engines that a request may go to rest: whether it is worth keeping until one of them
-/// takes requests again.
-/// @return when that is, if the request is then expected to be in time; nothing where it should be
-/// refused now, so that its caller loses no time.
+/// For when all engines are in cooldown or wait for permits. @return when the first one accepts
+/// requests again, if the request is then expected to meet its objective; otherwise nothing, and
+/// the request should be refused at once.
 std::optional<MonotonicTime> worth_waiting_until(MonotonicTime now, EngineDirectory& engines,
                                                  const DispatchQuery& query,
                                                  const PlacementSettings& placement,
--- a/src/core/relay/keeper_choice.cpp
+++ b/src/core/relay/keeper_choice.cpp
@@ -8,10 +8,10 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Nodes that may keep an engine's limit: of those that are listed so many may be gone at once.
+/// Candidates per engine; bounds how many listed nodes may be down at once.
 constexpr std::size_t kMaxOwnerCandidates = 64;
 
-/// Engines whose order is remembered; an order is made anew in some microseconds a node.
+/// Cached rankings; recomputing one is cheap.
 constexpr std::size_t kMaxCachedRankings = 1024;
 
 }  // namespace
--- a/src/core/relay/keeper_choice.hpp
+++ b/src/core/relay/keeper_choice.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Which node keeps the limit of an engine: the first in an order of its own that answers.
+/// Selects the node that owns the rate limit of an engine: the first responsive one in a ranking
+/// that depends on the engine.
 ///
-/// No election and no lease: all nodes rank the nodes alike, and each goes by who answers it. The
-/// nodes before the one that keeps are asked for a sign of life again and again, so that all come
-/// back to the same one.
+/// There is no election and no lease: all nodes compute the same ranking, and each skips the nodes
+/// that do not answer it. Skipped nodes are probed periodically, so that all nodes converge on the
+/// same owner.
 #pragma once
 
 #include <map>
@@ -16,41 +17,42 @@
 
 namespace shuntbank::relay {
 
-/// A node that has been asked and has not answered for so long is passed over.
+/// A node that leaves a request unanswered for this long is skipped.
 constexpr Duration kOwnerTimeout = std::chrono::milliseconds(300);
 
-/// A node that has not answered yet is asked again, so that one lost message does not matter.
+/// Interval between probes of a node that has not answered yet; covers a lost message.
 constexpr Duration kOwnerProbeInterval = std::chrono::milliseconds(90);
 
-/// A node that is passed over is asked so often whether it is back.
+/// Interval between probes of a node that is skipped.
 constexpr Duration kSilentNodeProbeInterval = std::chrono::seconds(1);
 
-/// The keepers as one node sees them.
+/// The limit owners as seen by one node.
 class LimitOwnerSelector {
  public:
   explicit LimitOwnerSelector(NodeId own_name) : self(std::move(own_name)) {}
 
-  /// Takes all nodes, this one among them.
+  /// Sets the nodes of the fleet, including this one.
   void set_nodes(std::vector<NodeId> nodes);
 
-  /// @return the node that keeps an engine's limit, as far as this one can tell; nothing where none
-  /// of those that may answers.
+  /// @return the owner of the engine's limit as seen by this node, or nothing if no candidate
+  /// responds.
   std::optional<NodeId> owner(MonotonicTime now, const EngineId& engine);
 
-  /// @return whether no other node comes before this one.
+  /// @return whether this node ranks first for the engine.
   bool is_preferred_owner(const EngineId& engine);
 
-  /// A node was sent what it answers at once.
+  /// Records that a request was sent which the node answers at once.
   void on_request_sent(MonotonicTime now, const NodeId& node);
 
-  /// Something has come from a node.
+  /// Records that any message came from the node.
   void on_message_received(const NodeId& node) { this->pending_replies.erase(node); }
 
-  /// @return nodes that should be asked for a sign of life now.
+  /// @return the nodes due for a probe, of those ranked before this node up to the first responsive
+  /// one.
   std::vector<NodeId> nodes_to_probe(MonotonicTime now, const EngineId& engine);
 
  private:
-  /// A node that has not answered yet.
+  /// An unanswered request to a node.
   struct PendingReply {
     MonotonicTime unanswered_since{};
     MonotonicTime last_sent_at{};
--- a/src/core/relay/load_collector.cpp
+++ b/src/core/relay/load_collector.cpp
@@ -35,7 +35,7 @@
   std::erase_if(this->zones, [](const auto& entry) { return entry.second.empty(); });
 }
 
-/// Of the collectors of one zone that are heard now, the one that knows most nodes.
+/// Prefers fresh sums, then the sum of the most nodes.
 LoadCollector::SelectedSum LoadCollector::select_sum(MonotonicTime now,
                                                      const SumsByCollector& sums) const {
   SelectedSum best;
--- a/src/core/relay/load_collector.hpp
+++ b/src/core/relay/load_collector.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What a collector knows: the load of the nodes that tell it, and the sums of the other zones.
+/// Load state of a collector: the reports of the nodes of its zone, and the sums of the other
+/// zones.
 #pragma once
 
 #include <map>
@@ -12,83 +13,81 @@
 
 namespace shuntbank::relay {
 
-/// A place in the messages of one start of a process.
+/// Position in the message sequence of one process run.
 struct MessageNumber {
-  std::uint64_t boot = 0;      ///< Drawn at the start of the process.
-  std::uint64_t sequence = 0;  ///< Rises with each message of one start.
+  std::uint64_t boot = 0;      ///< Random id of the process run.
+  std::uint64_t sequence = 0;  ///< Increases with each message of the run.
 
-  /// @return whether a message with this number may follow one with `last`: it is of another start,
-  /// or newer.
+  /// @return whether this is newer than `last` or of another process run.
   bool follows(const MessageNumber& last) const {
     return this->boot != last.boot || this->sequence > last.sequence;
   }
   bool operator==(const MessageNumber&) const = default;
 };
 
-/// All that one node has under way.
+/// Load report of one node: all work that it has in flight.
 struct MemberLoad {
   MessageNumber number;
   LoadByKey load;
-  bool wants_view = false;  ///< Asks to be sent the sum of the fleet.
+  bool wants_view = false;  ///< Requests the sum of the fleet.
 };
 
-/// A part of the sum of another zone, as a collector there sends it.
+/// A part of another zone's sum, sent by a collector there.
 struct ZoneLoad {
   ZoneName zone;
   NodeId collector;
-  MessageNumber number;   ///< The parts of one sum share it.
-  std::size_t nodes = 0;  ///< Whose load is in the sum.
+  MessageNumber number;   ///< Shared by all parts of one sum.
+  std::size_t nodes = 0;  ///< Nodes included in the sum.
   LoadRange part;
 };
 
-/// A node that asks for the view.
+/// A node that requests the view.
 struct Subscriber {
   NodeId node;
-  std::uint64_t last_sequence = 0;  ///< Its newest message in the sum.
+  std::uint64_t last_sequence = 0;  ///< Sequence of its newest report in the sum.
 };
 
 /// Tunables of a collector.
 struct LoadCollectorSettings {
-  /// A node that was not heard of for so long has nothing under way as far as others can tell. Idle
-  /// nodes tell so each second.
+  /// Reports are dropped after this long. Idle nodes report every second.
   Duration member_timeout = std::chrono::milliseconds(2500);
-  /// A sum that is older than this gives way to that of the zone's other collector.
+  /// Beyond this age the sum of the zone's other collector is preferred.
   Duration max_sum_age = std::chrono::milliseconds(400);
 };
 
-/// Sums up. Knows no clock: callers pass the time in.
+/// Sums up load reports. Callers pass in the time.
 class LoadCollector {
  public:
   explicit LoadCollector(const LoadCollectorSettings& own_settings) : settings(own_settings) {}
 
-  /// A node of this zone tells its load. @return whether it was news.
+  /// Takes the report of a node of this zone. @return false if it is a duplicate or outdated.
   bool on_member_load(MonotonicTime now, const NodeId& node, MemberLoad report);
 
-  /// A collector of another zone tells its sum. @return whether this collector is the one whose
-  /// word is taken for that zone.
+  /// Takes a part of another zone's sum. @return whether its collector is the selected one of that
+  /// zone.
   bool on_zone_load(MonotonicTime now, const ZoneLoad& report);
 
-  /// Forgets who was not heard of for long.
+  /// Drops members and sums that have timed out.
   void expire(MonotonicTime now);
 
   bool idle() const { return this->members.empty(); }
 
-  /// @return nodes of this zone whose load is known.
+  /// @return the number of nodes of this zone with a current report.
   std::size_t zone_nodes() const { return this->members.size(); }
 
-  /// @return what they have under way.
+  /// @return the summed load of the nodes of this zone.
   LoadByKey zone_load() const;
 
-  /// @return nodes of all zones whose load is known.
+  /// @return the number of nodes of all zones in the sums.
   std::size_t fleet_nodes(MonotonicTime now) const;
 
-  /// @return what they have under way.
+  /// @return the summed load of the nodes of all zones.
   LoadByKey fleet_load(MonotonicTime now) const;
 
-  /// @return the nodes that want the view.
+  /// @return the nodes that requested the view.
   std::vector<Subscriber> subscribers() const;
 
-  /// @return the collectors of another zone that were heard lately.
+  /// @return the collectors of another zone with a fresh sum.
   std::vector<NodeId> active_collectors(MonotonicTime now, const ZoneName& zone) const;
 
  private:
@@ -107,7 +106,7 @@
 
   SelectedSum select_sum(MonotonicTime now, const SumsByCollector& sums) const;
 
-  /// @return the sum that is taken of each other zone.
+  /// @return the selected sum of each other zone.
   std::vector<const Sum*> selected_sums(MonotonicTime now) const;
 
   LoadCollectorSettings settings;
--- a/src/core/relay/peer_load.hpp
+++ b/src/core/relay/peer_load.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Work that nodes have under way at the engines, as they tell each other.
+/// Load at the engines as reported between nodes.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,32 @@
 
 namespace shuntbank::relay {
 
-/// Work that a node, or a group of nodes, has under way at an engine.
+/// Load that a node, or a group of nodes, has at an engine.
 struct PeerLoad {
   std::uint32_t in_flight = 0;
   std::uint64_t prefill_tokens = 0;
-  std::uint64_t deferred_tokens = 0;  ///< Of `prefill_tokens`: read only when nothing else waits.
+  std::uint64_t deferred_tokens = 0;  ///< Of `prefill_tokens`: only when nothing else waits.
 
   PeerLoad& operator+=(const PeerLoad& more);
-  PeerLoad& operator-=(const PeerLoad& less);  ///< Never below nothing.
+  PeerLoad& operator-=(const PeerLoad& less);  ///< Saturates at zero.
   bool operator==(const PeerLoad&) const = default;
 };
 
-/// Work under way by engine; engines without any are left out.
+/// Load by engine; engines without load are omitted.
 using LoadByKey = std::map<EngineKey, PeerLoad>;
 
-/// Work under way at the engines of a range of keys. What is not listed there has none, so that one
-/// part of a sum makes sense when another part of it is lost.
+/// Load at the engines of a key range. Engines of the range that are not listed have none, so that
+/// each part of a sum is usable without the others.
 struct LoadRange {
   EngineKey first = 0;
-  EngineKey last = std::numeric_limits<EngineKey>::max();  ///< Included.
+  EngineKey last = std::numeric_limits<EngineKey>::max();  ///< Inclusive.
   LoadByKey load;
 
   bool covers(EngineKey key) const { return first <= key && key <= last; }
   bool operator==(const LoadRange&) const = default;
 };
 
-/// Adds the work of `more` to `sum`.
+/// Adds `more` to `sum`.
 void add_load(LoadByKey& sum, const LoadByKey& more);
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/permit_schedule.hpp
+++ b/src/core/relay/permit_schedule.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Spaces the sends of all nodes to one engine at the rate that it takes.
+/// Paces the requests of all nodes to one engine at the rate limit that it announced.
 #pragma once
 
 #include <optional>
@@ -8,35 +8,35 @@
 
 namespace shuntbank::relay {
 
-/// An engine that is sent nothing cannot say that it takes more again: where it names nothing, or
-/// next to nothing, it is sent one request in ten seconds.
-constexpr double kMinPermitRate = 0.1;  // a second
+/// An engine raises its limit in an answer, so that an engine with a limit of zero still gets one
+/// request in ten seconds.
+constexpr double kMinPermitRate = 0.1;  // permits per second
 
-/// Sends that may leave at once after a pause. Of the slack of five a window, what is left covers a
-/// change of the keeper.
+/// Sends allowed at once after a pause. The rest of the allowed excess of five per window covers a
+/// change of owner.
 constexpr double kPermitBurst = 2;
 
-/// The schedule of one engine's permits, a leaky bucket by the time at which the next one is due.
-/// In a span T it gives at most `T * rate + kPermitBurst`.
+/// Permit schedule of one engine: a leaky bucket that stores when the next permit is due (GCRA).
+/// Grants at most `T * rate + kPermitBurst` permits in any interval T.
 class PermitSchedule {
  public:
-  /// Asks for one send, which may wait for its time. @return when it may leave, unless that is
-  /// after `latest`.
+  /// Reserves the next permit. @return when the request may be sent, or nothing if that is after
+  /// `latest`.
   std::optional<MonotonicTime> take(MonotonicTime earliest, double per_second,
                                     MonotonicTime latest);
 
-  /// @return when the next send may leave.
+  /// @return when the next request may be sent.
   MonotonicTime next(MonotonicTime now, double per_second) const;
 
-  /// The engine takes more than before: what was given ahead of time takes that much less long.
+  /// Raises the rate: permits already reserved ahead of `now` take up proportionally less time.
   void raise_rate(MonotonicTime now, double from_per_second, double to_per_second);
 
-  /// Begins anew without a burst: what was given before, by another keeper or at a higher rate,
-  /// does not add up with what comes.
+  /// Restarts without a burst, so that earlier permits, of another owner or at a higher rate, do
+  /// not add to new ones.
   void reset(MonotonicTime now, double per_second);
 
  private:
-  MonotonicTime next_due{};  ///< Of the next permit, at a rate without bursts.
+  MonotonicTime next_due{};  ///< When the next permit is due without a burst.
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/placement.cpp
+++ b/src/core/relay/placement.cpp
@@ -18,8 +18,7 @@
   return query.max_connections_per_node == 0 || engine.in_flight < query.max_connections_per_node;
 }
 
-/// The engines that may be chosen; those that are avoided for their failures only when no other is
-/// left.
+/// @return the engines to choose from; those in backoff only if no other is left.
 std::vector<EngineView*> candidates(MonotonicTime now, EngineDirectory& engines,
                                     const PlacementQuery& query) {
   std::vector<EngineView*> healthy;
@@ -35,7 +34,7 @@
   return static_cast<double>(hash64(engine.value(), part));
 }
 
-/// @return the engine that all nodes take for the home of the prompt's shared part, or null.
+/// @return the home of the prompt's shared part by rendezvous hashing, or null.
 const EngineView* home_engine(const std::vector<EngineView*>& engines, const PromptShape& prompt) {
   const auto part = prompt.shared_part();
   if (!part || engines.empty()) return nullptr;
@@ -46,7 +45,7 @@
                            });
 }
 
-/// @return tokens of the prompt that this node knows to be kept at an engine.
+/// @return tokens of the prompt that this node knows to be cached at an engine.
 std::uint64_t cached_tokens_at(const EngineView& engine, const PromptShape& prompt) {
   return std::min(prompt.prompt_tokens, engine.cache.cached_tokens(prompt));
 }
@@ -57,7 +56,7 @@
   return prompt.prompt_tokens - std::min(prompt.prompt_tokens, prompt.parts.back().tokens);
 }
 
-/// The engine that keeps most of a prompt, whatever its stage and load.
+/// The engine that caches most of a prompt, regardless of stage and load.
 struct FetchSource {
   const EngineView* engine = nullptr;
   std::uint64_t cached = 0;
@@ -74,15 +73,15 @@
   return best;
 }
 
-/// What the costs of one choice rest on; the engines of a service share their model.
+/// Inputs shared by all cost estimates of one placement.
 struct PromptCosts {
   MonotonicTime now;
   const EngineModel& model;
   double usual_prefill_tokens;
-  bool deferred;  ///< The prompt waits behind all that can be answered in time.
+  bool deferred;  ///< The prompt waits behind all that can meet their objective.
 };
 
-/// @return milliseconds until the engine has read all that comes before another prompt.
+/// @return milliseconds until the engine has prefilled all prompts ahead of a new one.
 double waiting_ms(const PromptCosts& costs, const EngineView& engine) {
   const bool prefill = engine.record.stage == EngineStage::kPrefill;
   auto all = static_cast<double>(engine.unread_tokens);
@@ -100,15 +99,14 @@
   return engine.requests_there(costs.now) * share * reading.setup_ms() + ahead * reading.token_ms();
 }
 
-/// @return a number from 0 to 1 that differs from prompt to prompt and from engine to engine.
+/// @return a pseudorandom number from 0 to 1 for the prompt and the engine.
 double jitter_fraction(const PromptShape& prompt, const EngineView& engine) {
   if (prompt.parts.empty()) return 0;
   return hash_fraction(engine.record.id.value(), prompt.parts.back().id);
 }
 
-/// All nodes see the same engine idle until the next view. By so much, in milliseconds, the costs
-/// are varied by lot: about the work that busy engines get within the age of a view, and nothing
-/// where engines stand idle.
+/// Range of the cost jitter, which keeps nodes from all choosing the same engine until the next
+/// load view: the mean wait, at most the age of the view. Zero while engines are idle.
 double jitter_range_ms(const PromptCosts& costs, const EngineDirectory& engines,
                        const std::vector<EngineView*>& candidates) {
   const double age_ms = to_ms(engines.shared_view_age());
@@ -118,7 +116,7 @@
   return std::min(age_ms, std::max(0.0, waiting / static_cast<double>(candidates.size())));
 }
 
-/// A batch that is nearly full costs as much as reading a usual prompt, a full one many times that.
+/// A nearly full batch costs as much as prefilling a usual prompt, a full one many times that.
 double batch_fill_penalty_ms(const PromptCosts& costs, const EngineView& engine) {
   constexpr double kFullBatch = 20;
   const double usual_ms = costs.model.reading().read_ms(costs.usual_prefill_tokens);
@@ -126,7 +124,7 @@
   return usual_ms * (fill < 1 ? fill : kFullBatch * fill);
 }
 
-/// @return milliseconds until the engine will have read a prompt that is sent there now.
+/// @return milliseconds until the engine has prefilled a prompt that is sent now.
 double reading_wait_ms(const PromptCosts& costs, const EngineView& engine,
                        std::uint64_t prefill_tokens) {
   const auto tokens = static_cast<double>(prefill_tokens);
@@ -136,7 +134,7 @@
   return waiting_ms(costs, engine) + reading_ms;
 }
 
-/// @return what speaks against an engine whose streams are many or slow, in milliseconds.
+/// @return the penalty, in milliseconds, of an engine whose streams are many or slow.
 double stream_slowdown_ms(const PromptCosts& costs, const EngineView& engine) {
   if (engine.record.stage == EngineStage::kPrefill) return 0;
   const double free_pace = costs.model.free_pace_ms();
@@ -152,7 +150,7 @@
   return request_ms * (1 + running / slots + std::max(0.0, running + 1 - slots));
 }
 
-/// Fills in what a model engine would have to read, fetching parts where that is quicker.
+/// Estimates a placement at a model engine, fetching cached parts if that is quicker.
 void place_prompt(const PromptCosts& costs, const EngineView& engine, const PlacementQuery& query,
                   const PlacementSettings& settings, bool home, const FetchSource& source,
                   Placement& placement) {
@@ -160,8 +158,7 @@
   const EngineModel& model = costs.model;
   const std::uint64_t cached = cached_tokens_at(engine, prompt);
   std::uint64_t assumed_cached = cached;
-  // After a restart, the prefill engine that is the home of a part which no engine is known to keep
-  // most likely keeps it.
+  // After a restart of this node, a part not known to be cached anywhere is assumed at its home.
   const bool uncached_at_home = home && source.cached == 0;
   const bool may_have_cached_more =
       query.cache_view_incomplete && query.stage == EngineStage::kPrefill;
--- a/src/core/relay/prompt_cache_view.cpp
+++ b/src/core/relay/prompt_cache_view.cpp
@@ -51,7 +51,7 @@
   order.reserve(parts_.size());
   for (const auto& [id, cached_part] : parts_) order.emplace_back(cached_part.last_used, id);
   std::sort(order.begin(), order.end());
-  // Some room at once, so that this is not done for each request.
+  // Frees an eighth at once, so that not every request evicts.
   const std::uint64_t target_tokens = capacity - capacity / 8;
   for (const auto& [last_used, id] : order) {
     if (total_tokens_ <= target_tokens) return;
--- a/src/core/relay/prompt_cache_view.hpp
+++ b/src/core/relay/prompt_cache_view.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Parts of prompts: what requests share, and what an engine is believed to keep of them.
+/// Prompt parts shared between requests, and an estimate of the parts that an engine caches.
 #pragma once
 
 #include <cstdint>
@@ -19,23 +19,24 @@
   bool operator==(const PromptPart&) const = default;
 };
 
-/// What a model request asks for.
+/// Prompt parts and token counts of a model request.
 struct PromptShape {
   std::vector<PromptPart> parts;  ///< In order; the last is the request's own or its session's.
   std::uint64_t prompt_tokens = 0;
   std::uint64_t max_output_tokens = 0;
 
-  /// @return the id of the deepest part that other requests may share, or nothing.
+  /// @return the id of the last part that other requests may share, or nothing.
   std::optional<std::uint64_t> shared_part() const;
 };
 
-/// Parts of prompts that an engine is believed to keep, least recently used first out.
+/// Estimate of the prompt parts in an engine's cache, with LRU eviction.
 class PromptCacheView {
  public:
-  /// @return tokens at the start of the prompt that need not be read.
+  /// @return tokens at the start of the prompt that need no prefill.
   std::uint64_t cached_tokens(const PromptShape& prompt) const;
 
-  /// The engine has read the prompt. @param capacity of the engine's memory, in tokens.
+  /// Records that the engine prefilled the prompt. @param capacity of the engine's cache, in
+  /// tokens; 0: unknown.
   void on_read(const std::vector<PromptPart>& parts, std::uint64_t capacity, MonotonicTime now);
 
   bool empty() const { return parts_.empty(); }
--- a/src/core/relay/request_identity.hpp
+++ b/src/core/relay/request_identity.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What two tries of one request have in common, whatever id, deadline and node each has.
+/// Recognizes retries of one request by its caller, whatever their request id, deadline and node.
 #pragma once
 
 #include <cstdint>
@@ -8,16 +8,16 @@
 
 namespace shuntbank::relay {
 
-/// Equal for two requests with the same credential, method, host, target and body, of any size. A
-/// cryptographic hash, so that nobody can make up a request that looks like another's.
+/// Equal for requests with the same credential, method, host, target and body. A cryptographic
+/// hash, so that a caller cannot forge a request with the identity of another.
 using RequestIdentity = Digest128;
 
-/// A short name for the address that a request comes from. It is no part of the identity: one
-/// caller has many addresses (in an incident each coming had another one). What engines end under
-/// from one address alone speaks against that address only; see `CrashLedger`.
+/// Hash of the address that a request comes from. Not part of the identity, as retries may come
+/// from other addresses. Crashes under requests of one address alone count against that address
+/// only; see `CrashLedger`.
 using CallerAddressHash = std::uint32_t;
 
-/// A request, and whence the try came that is spoken of.
+/// A request and the address that this try of it came from.
 struct CallerRequest {
   RequestIdentity request;
   CallerAddressHash caller = 0;
--- a/src/core/relay/retry_budget.cpp
+++ b/src/core/relay/retry_budget.cpp
@@ -8,7 +8,7 @@
 RetryBudget::Slot& RetryBudget::slot_at(MonotonicTime now) {
   const auto size = static_cast<std::int64_t>(slots_.size());
   const std::int64_t number = now.time_since_epoch() / (settings_.window / kSlotsPerWindow);
-  // All slots that time has passed over are empty.
+  // Clears the slots since the last call.
   newest_slot_ = std::max(newest_slot_, number - size);
   while (newest_slot_ < number) slots_[static_cast<std::size_t>(++newest_slot_ % size)] = {};
   return slots_[static_cast<std::size_t>(newest_slot_ % size)];
@@ -21,8 +21,8 @@
 
 double RetryBudget::available(MonotonicTime now) {
   slot_at(now);
-  // Each window that holds the present, by the slot that it begins in. It may hold all of what was
-  // spent since, and only of the requests since one window before is it sure that they count.
+  // Checks every window that includes `now`, by the slot in which it starts: all charges since then
+  // count, and only the requests since one window before its start.
   double spent = 0;
   double requests = 0;
   for (std::int64_t slots = 0; slots < kSlotsPerWindow; ++slots) {
--- a/src/core/relay/routes.cpp
+++ b/src/core/relay/routes.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string normalized_host(std::string_view host) {
-  // A port behind the host names the connection, not the route; IPv6 numbers stand in brackets.
+  // Strips the port; a colon inside the brackets of an IPv6 address is none.
   const std::size_t bracket = host.rfind(']');
   const std::size_t colon = host.rfind(':');
   const bool has_port =
@@ -94,7 +94,7 @@
     const auto& scale = configuration_.services[i].scale;
     if (!scale || scale->least <= scale->most) continue;
     warnings_.add("services/" + std::to_string(i) + "/scale",
-                  "the least count passes the most: no engines are ordered");
+                  "the minimum count exceeds the maximum: no engines are ordered");
   }
 }
 
@@ -105,10 +105,11 @@
     if (!tenants_.emplace(tenant.name, &tenant).second) {
       warnings_.add(place + "/name", "'" + tenant.name.value() + "' is declared twice");
     }
-    if (tenant.keys.empty()) warnings_.add(place + "/keys", "is empty: nobody can call for it");
+    if (tenant.keys.empty()) warnings_.add(place + "/keys", "is empty: no request is admitted");
     for (std::size_t k = 0; k < tenant.keys.size(); ++k) {
       if (keys_.add(tenant.name, tenant.keys[k])) continue;
-      warnings_.add(place + "/keys/" + std::to_string(k), "is held twice: it is good for nobody");
+      warnings_.add(place + "/keys/" + std::to_string(k),
+                    "is declared more than once: it is valid for no tenant");
     }
   }
 }
--- a/src/core/relay/routes.hpp
+++ b/src/core/relay/routes.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Declared routes of relayed requests: which service a request goes to, what may be done with it,
-/// and how long it may take. A configuration is one immutable value with a version.
+/// Declared routes of relayed requests: the target service, retry rules and time limits. A
+/// configuration is one immutable value with a version.
 #pragma once
 
 #include <cstdint>
@@ -19,34 +19,34 @@
 
 namespace shuntbank::relay {
 
-/// What may be done with a request of a route.
+/// Whether requests of a route may be repeated.
 enum class RouteKind {
   kSafe,    ///< May run any number of times.
   kUnsafe,  ///< Runs at most once.
-  kStream,  ///< Answered by events; runs at most once unless the route is resumable.
+  kStream,  ///< Answered by an event stream; runs at most once unless the route is resumable.
 };
 
 /// One of the services that share a route.
 struct SplitPart {
   ServiceName service;
-  double weight = 1;  ///< Share relative to the other parts.
+  double weight = 1;  ///< Relative to the other parts.
 };
 
 /// A declared route.
 struct Route {
   std::string name;
-  std::string host;         ///< Without a port; compared without regard to case.
+  std::string host;         ///< Without a port; case-insensitive.
   std::string path_prefix;  ///< Begins and ends with a slash.
   RouteKind kind = RouteKind::kUnsafe;
-  std::vector<SplitPart> split;  ///< One part or more.
+  std::vector<SplitPart> split;  ///< At least one part.
   std::uint32_t max_attempts = 1;
-  Duration timeout = std::chrono::seconds(30);   ///< Longest time until the final answer.
-  Duration objective = std::chrono::seconds(1);  ///< Until which an answer has its full worth.
-  Duration gap_target = Duration::zero();        ///< Longest pause between events; zero: unset.
+  Duration timeout = std::chrono::seconds(30);   ///< Maximum time until the final answer.
+  Duration objective = std::chrono::seconds(1);  ///< For the first token or a plain answer.
+  Duration gap_target = Duration::zero();        ///< Maximum gap between events; zero: unset.
   int priority = 0;                              ///< 0 is the most urgent.
-  bool affinity = false;                         ///< Requests carry the parts of their prompt.
-  bool resumable = false;         ///< A broken stream may be taken up at another engine.
-  bool allows_anonymous = false;  ///< Takes requests without a tenant's key.
+  bool affinity = false;                         ///< Requests name the parts of their prompt.
+  bool resumable = false;         ///< A broken stream may be resumed at another engine.
+  bool allows_anonymous = false;  ///< Admits requests without a tenant's key.
 
   /// @return whether a request may run more than once.
   bool idempotent() const {
@@ -54,25 +54,25 @@
   }
 };
 
-/// What all engines of a model service share.
+/// Properties shared by all engines of a model service.
 struct ModelServing {
   std::uint32_t slots = 1;
-  std::uint64_t kv_tokens = 0;       ///< Memory of an engine, in tokens.
-  std::uint64_t kv_token_bytes = 0;  ///< Moved for each token of a prompt.
+  std::uint64_t kv_tokens = 0;       ///< KV cache of an engine, in tokens.
+  std::uint64_t kv_token_bytes = 0;  ///< KV cache bytes transferred per prompt token.
   double link_megabits_per_second = 0;
-  Duration prefill_handle_lifetime = std::chrono::seconds(5);  ///< Of a prompt that was read ahead.
+  Duration prefill_handle_lifetime = std::chrono::seconds(5);  ///< Of a remote prefill.
   Duration role_change_time = std::chrono::seconds(2);
 
-  /// @return milliseconds that the bytes of so many tokens take on an engine's link.
+  /// @return milliseconds to transfer the KV cache of the tokens over an engine's link.
   double transfer_ms(std::uint64_t tokens) const;
 };
 
 /// A declared service.
 struct RelayedService {
   ServiceName name;
-  std::uint32_t max_connections = 0;  ///< An engine takes so many from all callers; 0: unbounded.
-  std::optional<ModelServing> model;  ///< Set for engines that read prompts and make tokens.
-  std::optional<capacity::EngineScale> scale = std::nullopt;  ///< Set where engines may be ordered.
+  std::uint32_t max_connections = 0;  ///< Per engine, over all nodes; 0: unlimited.
+  std::optional<ModelServing> model;  ///< Set for LLM services.
+  std::optional<capacity::EngineScale> scale = std::nullopt;  ///< Set if engines may be ordered.
 };
 
 /// Bounds on what callers may send.
@@ -83,33 +83,33 @@
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
-/// A tenant as the operator declares it. One without keys has lost them all: nobody speaks for it.
+/// A declared tenant. Without keys, no request is admitted for it.
 struct DeclaredTenant {
   TenantName name;
   std::vector<TenantKey> keys;
-  std::optional<int> priority;  ///< In place of that of the routes; 0 is the most urgent.
+  std::optional<int> priority;  ///< Overrides the priority of routes; 0 is the most urgent.
 };
 
-/// All that the operator declares for the relay.
+/// The operator's configuration of the relay.
 struct RouteConfiguration {
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<RelayedService> services;
   RequestLimits limits;
-  /// Unset where there are no tenants: then no request needs a key.
+  /// Unset: there are no tenants, and no request needs a key.
   std::optional<std::vector<DeclaredTenant>> tenants;
 };
 
-/// Checks a configuration as a whole. @return every problem with its place.
+/// Validates a configuration. @return every problem with its path.
 Findings check(const RouteConfiguration& configuration);
 
-/// What a presented key says of a request.
+/// Result of the key check of a request.
 struct KeyVerdict {
   bool admitted = false;
-  const DeclaredTenant* tenant = nullptr;  ///< Null: the request is nobody's.
+  const DeclaredTenant* tenant = nullptr;  ///< Null: no tenant.
 };
 
-/// A configuration made ready for look-up. Immutable.
+/// Immutable index of a configuration.
 class RouteTable {
  public:
   explicit RouteTable(RouteConfiguration configuration);
@@ -117,19 +117,19 @@
   std::uint64_t version() const { return configuration_.version; }
   const RouteConfiguration& configuration() const { return configuration_; }
 
-  /// @return what an operator hardly means, with its place. It is no reason to serve on by an older
-  /// version: that would keep keys in force which were taken away.
+  /// @return probable mistakes with their paths. They do not make the configuration invalid:
+  /// staying on an older version would keep revoked keys valid.
   const Findings& warnings() const { return warnings_; }
 
-  /// @return the route of that host with the longest prefix that begins the path, or null.
+  /// @return the route of the host with the longest prefix of the path, or null.
   const Route* find(std::string_view host, std::string_view path) const;
 
   /// @return the declared service, or null.
   const RelayedService* find_service(const ServiceName& name) const;
 
-  /// Decides whether a request of the route is let in.
-  /// @param key that the caller presents; empty: none, or more than one.
-  /// @param unix_seconds the wall clock, for keys that expire.
+  /// Decides whether a request of the route is admitted.
+  /// @param key presented by the caller; empty: none, or more than one.
+  /// @param unix_seconds wall clock time, for keys that expire.
   KeyVerdict admit(const Route& route, std::string_view key, std::int64_t unix_seconds) const;
 
  private:
@@ -144,11 +144,11 @@
   std::unordered_map<TenantName, const DeclaredTenant*> tenants_;
 };
 
-/// Chooses the part of a split so that over time each gets its weight's share (smooth weighted
-/// round robin). State is kept by route name across configurations.
+/// Distributes requests over the parts of a split by weight (smooth weighted round robin). State is
+/// kept by route name across configurations.
 class SplitChooser {
  public:
-  /// @param offset in [0, 1): where a new route starts, so that nodes do not all start alike.
+  /// @param offset in [0, 1): starting point of new routes, so that nodes do not start in step.
   explicit SplitChooser(double offset) : offset_(offset) {}
 
   const ServiceName& choose(const Route& route);
--- a/src/core/relay/stage_planner.cpp
+++ b/src/core/relay/stage_planner.cpp
@@ -32,7 +32,7 @@
   for (const auto& [id, engine] : engines.all()) initial_engines_->insert(id);
 }
 
-/// @return whether the engine has come since planning began and nobody has a use for it yet.
+/// @return whether the engine joined after planning started and is still idle with an empty cache.
 bool StagePlanner::is_idle_newcomer(MonotonicTime now, const EngineView& engine) const {
   const bool initial = !initial_engines_ || initial_engines_->count(engine.record.id) > 0;
   return !initial && engine.requests_there(now) < 0.5 && engine.cache.empty();
--- a/src/core/relay/stage_planner.hpp
+++ b/src/core/relay/stage_planner.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Decides when a model engine changes its stage. Orders are priced and take the engine away for
-/// seconds, so that it orders little.
+/// Plans stage changes (prefill or decode) of model engines. A change costs money and takes the
+/// engine out of service for seconds, so changes are few and batched.
 #pragma once
 
 #include <map>
@@ -14,27 +14,27 @@
 
 /// Tunables of the planner.
 struct StagePlannerSettings {
-  double prefill_share = 0.56;  ///< Of a service's engines.
+  double prefill_share = 0.56;  ///< Target share of prefill engines per service.
   std::uint32_t min_decode_engines = 2;
-  Duration batch_interval = std::chrono::seconds(3);  ///< From one batch's begin to the next.
-  /// Of a service's engines, ordered in one batch; one at least. Engines that have come since and
-  /// hold nothing yet need not wait for a batch: nobody misses them.
+  Duration batch_interval = std::chrono::seconds(3);  ///< Between the starts of two batches.
+  /// Share of a service's engines changed in one batch, at least one engine. Idle engines that
+  /// joined later need not wait for a batch.
   double max_batch_share = 0.1;
-  Duration engine_cooldown = std::chrono::seconds(12);  ///< For one engine.
+  Duration engine_cooldown = std::chrono::seconds(12);  ///< Between two changes of one engine.
 };
 
-/// An order to give.
+/// An order to change an engine's stage.
 struct StageChange {
   EngineId engine;
   EngineStage stage = EngineStage::kDecode;
 };
 
-/// Plans the stages of one node's view of the engines.
+/// Plans stages from one node's view of the engines.
 class StagePlanner {
  public:
   explicit StagePlanner(const StagePlannerSettings& settings) : settings_(settings) {}
 
-  /// @return the next order, if one pays now. It counts as given.
+  /// @return the next order, if one is due. It counts as issued.
   std::optional<StageChange> next(MonotonicTime now, EngineDirectory& engines,
                                   const RouteTable& table);
 
@@ -45,20 +45,20 @@
   void record_initial_engines(const EngineDirectory& engines);
   std::size_t batch_size(EngineDirectory& engines, const RelayedService& service) const;
 
-  /// An order that was given, whether or not its effect shows yet.
+  /// An issued order, whether or not the engine has changed yet.
   struct IssuedOrder {
     EngineStage stage = EngineStage::kDecode;
     MonotonicTime issued_at{};
   };
 
-  /// @return the stage that the engine has, or will have once its order is carried out.
+  /// @return the engine's stage once any order in progress has completed.
   EngineStage expected_stage(MonotonicTime now, const EngineRecord& record) const;
 
   StagePlannerSettings settings_;
   std::optional<MonotonicTime> batch_started_at_;
-  std::size_t batch_remaining_ = 0;  ///< Orders that the batch may still hold.
+  std::size_t batch_remaining_ = 0;  ///< Orders left in the batch.
   std::map<EngineId, IssuedOrder> issued_orders_;
-  std::optional<std::set<EngineId>> initial_engines_;  ///< That were there when planning began.
+  std::optional<std::set<EngineId>> initial_engines_;  ///< Known when planning started.
 };
 
 }  // namespace shuntbank::relay
--- a/tests/core/relay/attempt_outcome_test.cpp
+++ b/tests/core/relay/attempt_outcome_test.cpp
@@ -6,7 +6,7 @@
 using namespace shuntbank::relay;
 
 Test(attempt_outcome, never_reruns_unsafe_requests_nor_refuses_after_a_run) {
-  SHUNTBANK_PROPERTY("at most once, true promises, bounded attempts", [] {
+  SHUNTBANK_PROPERTY("at most one run of unsafe requests, correct refusals, bounded attempts", [] {
     Route route;
     route.kind = *rc::gen::element(RouteKind::kSafe, RouteKind::kUnsafe, RouteKind::kStream);
     route.resumable = route.kind == RouteKind::kStream && *rc::gen::arbitrary<bool>();
--- a/tests/core/relay/collector_choice_test.cpp
+++ b/tests/core/relay/collector_choice_test.cpp
@@ -54,7 +54,7 @@
     selector.on_view(kNow + at, NodeId("b"));
     selector.poll(kNow + at);
   }
-  cr_assert(selector.source() == NodeId("b"), "though the first one is not suspected any more");
+  cr_assert(selector.source() == NodeId("b"), "even once the first one is no longer suspect");
 }
 
 Test(collector_selector, starts_over_when_all_are_suspect) {
--- a/tests/core/relay/dispatch_choice_test.cpp
+++ b/tests/core/relay/dispatch_choice_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr MonotonicTime kNow{std::chrono::seconds(100)};
 
-/// A prefill and a decode engine, and a prompt that neither keeps.
+/// A prefill and a decode engine, and a prompt that neither caches.
 struct Fixture {
   Fixture() {
     this->service.name = ServiceName("model");
@@ -65,7 +65,8 @@
 Test(dispatch_plan, avoids_likely_refusals_without_retry_budget) {
   Fixture fixture;
   fixture.query.retry_budget = 0.9;
-  cr_assert(fixture.plan()->remote_prefill, "an engine that refuses nothing needs no budget");
+  cr_assert(fixture.plan()->remote_prefill,
+            "no budget needed for an engine that is not in backoff");
   fixture.engines.on_health(kNow, EngineId("reader"), AttemptHealth::kBusy);
   cr_assert_not(fixture.plan()->remote_prefill);
   fixture.query.retry_budget = 1;
@@ -94,7 +95,7 @@
 }
 
 Test(dispatch_plan, does_not_prefill_beside_streams_close_to_the_gap_target) {
-  // Streams came 100 to 170 ms apart where 40 was free running and 150 in time: two in five late.
+  // Guards against prefills that push streams over their gap target.
   Fixture fixture;
   fixture.prompt = {{{1, 200}}, 200, 80};
   fixture.query.gap_target = std::chrono::milliseconds(150);
@@ -113,7 +114,7 @@
 }
 
 Test(dispatch_plan, defers_requests_that_cannot_meet_the_objective) {
-  // Four times the usual requests for four seconds: each waited in turn, and all were late.
+  // Guards against overloads in which requests served in order all miss their objective.
   Fixture fixture;
   fixture.query.time_to_objective = std::chrono::milliseconds(600);
   cr_assert_not(fixture.plan()->deferred);
@@ -143,10 +144,8 @@
   cr_assert_eq(fixture.engines.find(prefill_engine)->unread_tokens, 3000);
 }
 
-// Seen: by reading. A request that would be just too late is plan for again, behind all that can
-// be in time; the only engine left, which takes it after a wait for a permit, was no candidate
-// then. Cause: the second choice was taken for one that always finds what the first has found.
-// Proved by this test, which ended the process.
+// Guards against a crash when planning a late request again as deferred finds no candidate, because
+// the only engine left would grant its permit too late.
 Test(dispatch_plan, keeps_the_first_plan_when_no_deferred_plan_exists) {
   Fixture fixture;
   fixture.query.prefill_sent = true;
@@ -162,11 +161,8 @@
   cr_assert_eq(plan->placement.engine, decode_engine);
 }
 
-// Seen: on ordinary days without any limit 17 in 100 less prompt memory was moved between engines,
-// and large prompts were answered less often in time. How it came about: the wait for a taker's
-// permit, none here, was taken for the cost of reading apart where that was below zero, as it is at
-// the home of a prompt's shared part. Cause: a cost with preferences in it compared to a time.
-// Proved by this test, and by the same days before and after.
+// Guards against comparing the permit wait, a time, with a cost that includes bonuses: at the home
+// of a shared part the cost may be negative, and remote prefills were then rejected.
 Test(dispatch_plan, prefills_remotely_at_the_home_of_a_partly_cached_prompt) {
   Fixture fixture;
   fixture.prompt = {{{1, 3000}, {3, 6000}, {2, 1000}}, 10000, 80};
--- a/tests/core/relay/keeper_choice_test.cpp
+++ b/tests/core/relay/keeper_choice_test.cpp
@@ -42,7 +42,7 @@
   selector.on_request_sent(kNow, first);
   cr_assert(selector.nodes_to_probe(kNow + 50ms, kEngine).empty());
   cr_assert_eq(selector.nodes_to_probe(kNow + 100ms, kEngine).front(), first,
-               "one message may be lost");
+               "probes again, as one message may be lost");
   cr_assert(selector.owner(kNow + 300ms, kEngine) == first);
   const MonotonicTime timed_out = kNow + kOwnerTimeout + 1ms;
   cr_assert(selector.owner(timed_out, kEngine) != first);
--- a/tests/core/relay/load_collector_test.cpp
+++ b/tests/core/relay/load_collector_test.cpp
@@ -27,8 +27,8 @@
 Test(load_collector, sums_the_newest_report_of_each_node) {
   LoadCollector collector{LoadCollectorSettings{}};
   cr_assert(collector.on_member_load(kNow, NodeId("a"), member(2, 3)));
-  cr_assert(!collector.on_member_load(kNow, NodeId("a"), member(1, 9)), "late");
-  cr_assert(!collector.on_member_load(kNow, NodeId("a"), member(2, 3)), "doubled");
+  cr_assert(!collector.on_member_load(kNow, NodeId("a"), member(1, 9)), "outdated");
+  cr_assert(!collector.on_member_load(kNow, NodeId("a"), member(2, 3)), "duplicate");
   cr_assert(collector.on_member_load(kNow, NodeId("b"), member(1, 4, false)));
   cr_assert_eq(collector.zone_load().at(kEngine).in_flight, 7);
   const auto subscribers = collector.subscribers();
@@ -56,10 +56,10 @@
   LoadCollector collector{LoadCollectorSettings{}};
   collector.on_member_load(kNow, NodeId("a"), member(1, 1));
   cr_assert(collector.on_zone_load(kNow, zone("c1", 1, 9, 5)));
-  cr_assert(!collector.on_zone_load(kNow, zone("c2", 1, 4, 2)), "knows less");
+  cr_assert(!collector.on_zone_load(kNow, zone("c2", 1, 4, 2)), "covers fewer nodes");
   cr_assert_eq(collector.fleet_load(kNow).at(kEngine).in_flight, 6);
   cr_assert_eq(collector.fleet_nodes(kNow), 10);
-  // The first one stands still: what it knew is old, and the other's word is taken.
+  // The first collector stalls: its sum is stale, so the other one is selected.
   cr_assert(collector.on_zone_load(kNow + 500ms, zone("c2", 2, 4, 2)));
   cr_assert_eq(collector.fleet_load(kNow + 500ms).at(kEngine).in_flight, 3);
 }
--- a/tests/core/relay/permit_schedule_test.cpp
+++ b/tests/core/relay/permit_schedule_test.cpp
@@ -22,12 +22,12 @@
 Test(permit_schedule, spaces_sends_and_predicts_the_next) {
   PermitSchedule schedule;
   schedule.reset(kNow, 2);
-  cr_assert_not(schedule.take(kNow, 2, kNow + 400ms).has_value(), "no burst at its beginning");
+  cr_assert_not(schedule.take(kNow, 2, kNow + 400ms).has_value(), "no burst after a reset");
   cr_assert_eq(schedule.take(kNow, 2, kNow + 500ms), kNow + 500ms);
   cr_assert_eq(schedule.next(kNow, 2), kNow + 1s);
   const MonotonicTime later = kNow + 10s;
   cr_assert_eq(schedule.take(later, 2, later), later);
-  cr_assert_eq(schedule.take(later, 2, later), later, "after a pause two at once");
+  cr_assert_eq(schedule.take(later, 2, later), later, "two at once after a pause");
   cr_assert_eq(schedule.next(later, 2), later + 500ms);
 }
 
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -93,7 +93,7 @@
 }
 
 Test(placement, leaves_the_home_when_reading_the_shared_parts_elsewhere_is_quicker) {
-  // A fixed bonus in milliseconds, right for slow engines, let queues stand at quick ones.
+  // Guards against a fixed bonus for the home, which lets queues build up at fast engines.
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
   const double shared_ms = 12000 * fleet.engines.model_of(fleet.service.name).reading().token_ms();
@@ -124,7 +124,7 @@
 }
 
 Test(placement, spreads_prompts_placed_on_a_shared_view) {
-  // Seen at 66 nodes in an overload: all chose the engine that waited least, until the next view.
+  // Guards against all nodes choosing the same least loaded engine until the next load view.
   Fleet fleet;
   fleet.engines.set_shared_view_age(200ms);
   LoadRange view;
@@ -173,8 +173,7 @@
 }
 
 Test(stage_planner, counts_an_order_in_progress_as_done) {
-  // Without it the planner ordered again before the first order showed, and back afterwards:
-  // quiet-1 at petalwire fell from 0.846 to 0.364.
+  // Guards against repeating an order before its effect shows, and reverting it afterwards.
   Fleet fleet;
   for (int i = 0; i < 5; ++i) {
     fleet.engines.upsert(engine("p" + std::to_string(i), EngineStage::kDecode));
--- a/tests/core/relay/retry_budget_test.cpp
+++ b/tests/core/relay/retry_budget_test.cpp
@@ -1,10 +1,5 @@
-// 66 nodes before a service whose load rose and fell by a factor of three every few seconds sent
-// 2,535 extra requests in ten seconds; 2,268 were allowed. Each node had kept to its share at every
-// moment: the ratio times its own requests of the last window, and its part of the slack. But the
-// bound takes the requests of one of three windows, and the windows between them held more; and
-// each node spent at its own best moment, so that the shares of all added up to more than any
-// window of the fleet had. Shown by this arithmetic, without engines, and by counting the sends in
-// the logs of all nodes on such days.
+// Guards against nodes that each keep to their share of the retry budget but together exceed the
+// fleet's bound, as under an oscillating load each spends at its own peak.
 #include "core/relay/retry_budget.hpp"
 
 #include <algorithm>
@@ -19,7 +14,7 @@
 
 namespace {
 
-/// What the fleet has done, in milliseconds from the beginning; in order of time.
+/// Sorted times of the fleet's requests and extra dispatches, in milliseconds from the start.
 struct FleetHistory {
   std::vector<int> requests;
   std::vector<int> extra_dispatches;
@@ -31,8 +26,8 @@
   return last - first;
 }
 
-/// @return extra dispatches beyond the bound in the window from `begin`. The requests are those of
-/// the window, of the one before it or of the one half a window before it.
+/// @return extra dispatches beyond the bound in the window from `begin`. The requests are the most
+/// of that window, the one before it and the one half a window earlier.
 double excess_from(int begin, const FleetHistory& history, const RetryBudgetSettings& settings) {
   const int window = static_cast<int>(to_ms(settings.window));
   const auto requests_from = [&](int from) {
@@ -45,8 +40,7 @@
   return extra_dispatches - settings.ratio * static_cast<double>(requests) - settings.slack;
 }
 
-/// @return the most that a window has beyond the bound; it is among those that begin or end with an
-/// extra dispatch.
+/// @return the largest excess of any window, which starts or ends with an extra dispatch.
 double worst_excess(const FleetHistory& history, const RetryBudgetSettings& settings) {
   const int window = static_cast<int>(to_ms(settings.window));
   double worst = -settings.slack;
@@ -69,7 +63,7 @@
   return settings;
 }
 
-/// Requests a second of the whole fleet: high and low by turns, 2.8 s each.
+/// Requests per second of the whole fleet, alternating between high and low.
 double oscillating_load(int now_ms) {
   constexpr int kPhaseMs = 2800;
   return now_ms / kPhaseMs % 2 == 0 ? 1600 : 500;
@@ -92,7 +86,7 @@
       budgets[node_hash % kNodes].on_request(at_ms(now_ms));
       history.requests.push_back(now_ms);
     }
-    // Engines refuse throughout: each node spends what it may as soon as it may.
+    // Engines refuse everything: each node spends its budget at once.
     for (RetryBudget& budget : budgets) {
       while (budget.try_spend(at_ms(now_ms))) history.extra_dispatches.push_back(now_ms);
     }
@@ -102,7 +96,7 @@
 }
 
 Test(retry_budget, bounds_all_nodes_in_every_window) {
-  SHUNTBANK_PROPERTY("however requests come and nodes spend and start again", [] {
+  SHUNTBANK_PROPERTY("bound holds for any sequence of requests, dispatches and restarts", [] {
     RetryBudgetSettings settings;
     settings.slack = 54;
     const auto nodes = *rc::gen::inRange<std::size_t>(1, 9);
@@ -116,7 +110,7 @@
       const MonotonicTime now = at_ms(now_ms);
       const int action = *rc::gen::inRange(0, 40);
       if (action == 0) {
-        // The process starts again.
+        // The process restarts.
         budget = RetryBudget(settings, {share, now + charge_duration(settings)});
       } else if (action < 12) {
         const int burst = *rc::gen::inRange(1, 30);
@@ -131,7 +125,7 @@
 }
 
 Test(retry_budget, allows_a_steady_load_to_spend_the_whole_ratio) {
-  // The bound must not cost what it need not: in a steady load all of it can be spent.
+  // Guards against a budget stricter than the bound.
   RetryBudgetSettings settings;
   settings.slack = 0;
   RetryBudget budget(settings, {});
@@ -144,13 +138,14 @@
       if (budget.try_spend(now) && second >= 30) ++spent;
     }
   }
-  // Dispatches count for a tenth of a window longer than requests do, and slots round down.
+  // Dispatches are charged for a tenth of a window longer than requests count, and slots round
+  // down.
   constexpr double kFullRatio = 30 * kRequestsPerSecond * 0.2;
   cr_assert_geq(spent, kFullRatio * 0.85, "%d of %.0f", spent, kFullRatio);
 }
 
 Test(retry_budget, allows_retrying_in_flight_requests_after_a_crash) {
-  // An engine that crashes fails all that it had at once: half of a window's ratio is at hand.
+  // A crash fails all requests of an engine at once: half of a window's ratio is available.
   RetryBudgetSettings settings;
   settings.slack = 0;
   RetryBudget budget(settings, {});
--- a/tests/core/relay/routes_test.cpp
+++ b/tests/core/relay/routes_test.cpp
@@ -51,7 +51,7 @@
 }
 
 Test(split_chooser, gives_each_part_its_share_at_any_time) {
-  SHUNTBANK_PROPERTY("no part is more than its number of parts away from its share", [] {
+  SHUNTBANK_PROPERTY("each part stays within four requests of its share", [] {
     Route split = route("r", "h", "/");
     split.split.clear();
     double total = 0;
