--- a/src/core/relay/dispatch_choice.cpp
+++ b/src/core/relay/dispatch_choice.cpp
@@ -55,11 +55,10 @@
                                        const DispatchQuery& query,
                                        const PlacementSettings& placement,
                                        const PrefillSettings& prefill) {
-  auto prefill_placement = place_in_stage(now, engines, query, EngineStage::kPrefill, placement);
-  if (!prefill_placement || query.retry_budget >= prefill.min_retry_budget)
-    return prefill_placement;
-  const bool backed_off = engines.find(prefill_placement->engine)->avoided_until > now;
-  return query.extra_dispatch || backed_off ? std::nullopt : prefill_placement;
+  auto candidate = place_in_stage(now, engines, query, EngineStage::kPrefill, placement);
+  if (!candidate || query.retry_budget >= prefill.min_retry_budget) return candidate;
+  const bool backed_off = engines.find(candidate->engine)->avoided_until > now;
+  return query.extra_dispatch || backed_off ? std::nullopt : candidate;
 }
 
 DispatchPlan direct_dispatch(const Placement& decode) {
--- a/src/core/relay/placement.cpp
+++ b/src/core/relay/placement.cpp
@@ -157,14 +157,12 @@
   const PromptShape& prompt = *query.prompt;
   const EngineModel& model = costs.model;
   const std::uint64_t cached = cached_tokens_at(engine, prompt);
-  std::uint64_t assumed_cached = cached;
+  std::uint64_t assumed = cached;
   // After a restart of this node, a part not known to be cached anywhere is assumed at its home.
   const bool uncached_at_home = home && source.cached == 0;
-  const bool may_have_cached_more =
-      query.cache_view_incomplete && query.stage == EngineStage::kPrefill;
-  if (uncached_at_home && may_have_cached_more)
-    assumed_cached = std::max(cached, shared_tokens(prompt));
-  placement.prefill_tokens = prompt.prompt_tokens - assumed_cached;
+  const bool may_be_cached = query.cache_view_incomplete && query.stage == EngineStage::kPrefill;
+  if (uncached_at_home && may_be_cached) assumed = std::max(cached, shared_tokens(prompt));
+  placement.prefill_tokens = prompt.prompt_tokens - assumed;
   placement.expected_ms = reading_wait_ms(costs, engine, placement.prefill_tokens);
   placement.cost_ms = placement.expected_ms + stream_slowdown_ms(costs, engine);
   if (home) {
--- a/src/core/relay/prompt_cache_view.cpp
+++ b/src/core/relay/prompt_cache_view.cpp
@@ -21,8 +21,8 @@
   return cached;
 }
 
-void PromptCacheView::on_read(const std::vector<PromptPart>& parts, std::uint64_t capacity,
-                              MonotonicTime now) {
+void PromptCacheView::on_prompt_read(const std::vector<PromptPart>& parts, std::uint64_t capacity,
+                                     MonotonicTime now) {
   for (const PromptPart& part : parts) {
     CachedPart& cached_part = parts_[part.id];
     total_tokens_ += std::max(part.tokens, cached_part.tokens) - cached_part.tokens;
@@ -35,8 +35,7 @@
 std::vector<PromptPart> PromptCacheView::cached_parts() const {
   std::vector<std::pair<MonotonicTime, PromptPart>> order;
   order.reserve(parts_.size());
-  for (const auto& [id, cached_part] : parts_)
-    order.push_back({cached_part.last_used, {id, cached_part.tokens}});
+  for (const auto& [id, part] : parts_) order.push_back({part.last_used, {id, part.tokens}});
   std::sort(order.begin(), order.end(), [](const auto& left, const auto& right) {
     return std::pair(left.first, left.second.id) < std::pair(right.first, right.second.id);
   });
@@ -49,7 +48,7 @@
 void PromptCacheView::evict(std::uint64_t capacity) {
   std::vector<std::pair<MonotonicTime, std::uint64_t>> order;
   order.reserve(parts_.size());
-  for (const auto& [id, cached_part] : parts_) order.emplace_back(cached_part.last_used, id);
+  for (const auto& [id, part] : parts_) order.emplace_back(part.last_used, id);
   std::sort(order.begin(), order.end());
   // Frees an eighth at once, so that not every request evicts.
   const std::uint64_t target_tokens = capacity - capacity / 8;
--- a/src/core/relay/prompt_cache_view.hpp
+++ b/src/core/relay/prompt_cache_view.hpp
@@ -37,7 +37,8 @@
 
   /// Records that the engine prefilled the prompt. @param capacity of the engine's cache, in
   /// tokens; 0: unknown.
-  void on_read(const std::vector<PromptPart>& parts, std::uint64_t capacity, MonotonicTime now);
+  void on_prompt_read(const std::vector<PromptPart>& parts, std::uint64_t capacity,
+                      MonotonicTime now);
 
   bool empty() const { return parts_.empty(); }
 
--- a/src/core/relay/routes.cpp
+++ b/src/core/relay/routes.cpp
@@ -27,7 +27,7 @@
     findings.add(place + "/path_prefix", "must begin and end with a slash");
   }
   if (route.split.empty()) findings.add(place + "/split", "must name a service");
-  double total_weight = 0;
+  double total = 0;
   for (std::size_t i = 0; i < route.split.size(); ++i) {
     const SplitPart& part = route.split[i];
     const std::string part_place = place + "/split/" + std::to_string(i);
@@ -35,10 +35,9 @@
       findings.add(part_place, "service '" + part.service.value() + "' is not declared");
     }
     if (part.weight < 0) findings.add(part_place, "the weight must not be negative");
-    total_weight += part.weight;
+    total += part.weight;
   }
-  if (!route.split.empty() && total_weight <= 0)
-    findings.add(place + "/split", "no part has a weight");
+  if (!route.split.empty() && total <= 0) findings.add(place + "/split", "no part has a weight");
   if (route.max_attempts == 0) findings.add(place + "/max_attempts", "must be 1 or more");
   if (route.timeout <= Duration::zero()) findings.add(place + "/timeout", "must be above 0");
   if (route.resumable && route.kind != RouteKind::kStream) {
@@ -142,20 +141,20 @@
 
 const ServiceName& SplitChooser::choose(const Route& route) {
   if (route.split.size() == 1) return route.split.front().service;
-  double total_weight = 0;
-  for (const SplitPart& part : route.split) total_weight += part.weight;
+  double total = 0;
+  for (const SplitPart& part : route.split) total += part.weight;
   auto& credit = credit_[route.name];
   if (credit.size() != route.split.size()) {
     credit.assign(route.split.size(), 0);
-    credit.front() = offset_ * total_weight;
-    credit.back() -= offset_ * total_weight;
+    credit.front() = offset_ * total;
+    credit.back() -= offset_ * total;
   }
   std::size_t best = 0;
   for (std::size_t i = 0; i < credit.size(); ++i) {
     credit[i] += route.split[i].weight;
     if (credit[i] > credit[best]) best = i;
   }
-  credit[best] -= total_weight;
+  credit[best] -= total;
   return route.split[best].service;
 }
 
--- a/src/relay/relay_context.cpp
+++ b/src/relay/relay_context.cpp
@@ -9,7 +9,7 @@
 void RelayContext::note_read(const EngineId& engine, const std::vector<PromptPart>& parts) {
   EngineView* view = engines.find(engine);
   if (view == nullptr) return;
-  view->cache.on_read(parts, view->memory_tokens, runtime.now());
+  view->cache.on_prompt_read(parts, view->memory_tokens, runtime.now());
 }
 
 void RelayContext::note_engine_ended(const EngineId& engine) {
--- a/tests/core/relay/dispatch_choice_test.cpp
+++ b/tests/core/relay/dispatch_choice_test.cpp
@@ -51,7 +51,8 @@
 
 Test(dispatch_plan, uses_the_decode_engine_that_caches_the_prompt) {
   Fixture fixture;
-  fixture.engines.find(EngineId("maker"))->cache.on_read(fixture.prompt.parts, 1000000, kNow);
+  fixture.engines.find(EngineId("maker"))
+      ->cache.on_prompt_read(fixture.prompt.parts, 1000000, kNow);
   cr_assert_not(fixture.plan()->remote_prefill);
   cr_assert_eq(fixture.plan()->placement.engine.value(), "maker");
 }
@@ -166,6 +167,6 @@
 Test(dispatch_plan, prefills_remotely_at_the_home_of_a_partly_cached_prompt) {
   Fixture fixture;
   fixture.prompt = {{{1, 3000}, {3, 6000}, {2, 1000}}, 10000, 80};
-  fixture.engines.find(EngineId("maker"))->cache.on_read({{1, 3000}}, 1000000, kNow);
+  fixture.engines.find(EngineId("maker"))->cache.on_prompt_read({{1, 3000}}, 1000000, kNow);
   cr_assert(fixture.plan()->remote_prefill);
 }
--- a/tests/core/relay/engine_directory_test.cpp
+++ b/tests/core/relay/engine_directory_test.cpp
@@ -216,7 +216,7 @@
   StagePlanner planner(settings);
   while (planner.next(kNow, engines, table)) continue;  // The first batch: two.
   for (int i = 0; i < 20; ++i) engines.upsert(record("n" + std::to_string(i)));
-  engines.find(EngineId("n0"))->cache.on_read({{7, 100}}, 0, kNow);
+  engines.find(EngineId("n0"))->cache.on_prompt_read({{7, 100}}, 0, kNow);
   std::set<std::string> changed;
   while (const auto change = planner.next(kNow + 1s, engines, table)) {
     changed.insert(change->engine.value());
@@ -245,7 +245,7 @@
   const relay::EngineRecord first = start_of("e", 1000);
   engines.upsert(first);
   engines.on_sent(first.id, {500, false});
-  engines.find(first.id)->cache.on_read({{7, 100}}, 0, kNow);
+  engines.find(first.id)->cache.on_prompt_read({{7, 100}}, 0, kNow);
   const relay::EngineRecord second = start_of("e", 2000);
   engines.upsert(second);
   cr_assert_null(engines.find(first.id));
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -82,7 +82,7 @@
 Test(placement, fetches_cached_parts_when_their_engine_is_loaded) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
-  fleet.engines.find(home)->cache.on_read(fleet.prompt.parts, 1000000, kNow);
+  fleet.engines.find(home)->cache.on_prompt_read(fleet.prompt.parts, 1000000, kNow);
   cr_assert_eq(fleet.choose()->engine, home);
   cr_assert_eq(fleet.choose()->prefill_tokens, 0);
   fleet.engines.on_sent(home, {60000, false});
@@ -166,8 +166,8 @@
   PromptCacheView cache;
   const PromptShape old{{{1, 600}}, 600, 1};
   const PromptShape recent{{{2, 600}}, 600, 1};
-  cache.on_read(old.parts, 1000, kNow);
-  cache.on_read(recent.parts, 1000, kNow + 1s);
+  cache.on_prompt_read(old.parts, 1000, kNow);
+  cache.on_prompt_read(recent.parts, 1000, kNow + 1s);
   cr_assert_eq(cache.cached_tokens(old), 0);
   cr_assert_eq(cache.cached_tokens(recent), 600);
 }
