--- a/src/relay/catalog.cpp
+++ b/src/relay/catalog.cpp
@@ -193,7 +193,7 @@
   const auto record = codec_.engine(change.object);
   if (!record) {
     log_malformed(change.object, record.error());
-    return node_.distrust_engine(change.object.name);
+    return node_.invalidate_engine(change.object.name);
   }
   node_.set_engine(*record);
 }
--- a/src/relay/engine_dialect.hpp
+++ b/src/relay/engine_dialect.hpp
@@ -30,8 +30,8 @@
   std::string fetch_from;       ///< Engine that keeps parts of the prompt.
   std::string tenant_key;       ///< The caller's secret; engines never see it.
   std::string tenant;           ///< The name of the tenant whose request an engine gets.
-  std::vector<std::string> from_callers_removed;  ///< Fields that only the system may set.
-  std::vector<std::string> from_engines_removed;  ///< Fields that concern only the system.
+  std::vector<std::string> stripped_from_requests;  ///< Fields that only the system may set.
+  std::vector<std::string> stripped_from_answers;   ///< Fields that concern only the system.
 };
 
 /// A prompt that an engine has read ahead.
@@ -43,16 +43,16 @@
 /// What an engine tells of itself when asked.
 struct EngineReport {
   EngineStage stage = EngineStage::kNone;
-  std::uint64_t orders_taken = 0;
-  bool changing = false;                         ///< An order is under way.
+  std::uint64_t orders_accepted = 0;
+  bool order_in_progress = false;                ///< An order is under way.
   bool leaving = false;                          ///< It will end, and wants no new request.
   std::optional<std::uint64_t> started_unix_ms;  ///< Of the start that tells; unset: not told.
 };
 
 /// What could be read of an engine's words in the head of an answer, and what could not.
-struct ReadNotice {
+struct ParsedNotice {
   EngineNotice notice;
-  std::vector<std::string> unreadable;  ///< Fields as they came, for the log.
+  std::vector<std::string> malformed_fields;  ///< Fields as they came, for the log.
 };
 
 /// An order to an engine to change its stage.
@@ -76,40 +76,41 @@
   virtual const HeaderNames& names() const = 0;
 
   /// @return the shape of the request's prompt, or nothing when none is told or it cannot be read.
-  virtual std::optional<PromptShape> prompt(const HttpHeaders& headers) const = 0;
+  virtual std::optional<PromptShape> parse_prompt(const HttpHeaders& headers) const = 0;
 
   /// @return the load that came with an answer.
-  virtual std::optional<ReportedLoad> load(const HttpHeaders& headers) const = 0;
+  virtual std::optional<ReportedLoad> parse_load(const HttpHeaders& headers) const = 0;
 
   /// @return what the engine says of itself beside its answer.
-  virtual ReadNotice notice(int status, const HttpHeaders& headers) const = 0;
+  virtual ParsedNotice parse_notice(int status, const HttpHeaders& headers) const = 0;
 
   /// @return whether the engine says that it did not run the request and never will.
-  virtual bool refused(int status, const HttpHeaders& headers) const = 0;
+  virtual bool is_refusal(int status, const HttpHeaders& headers) const = 0;
 
   /// @return the value of the stage field that has a prompt only read.
-  virtual std::string prefill_stage() const = 0;
+  virtual std::string prefill_stage_value() const = 0;
 
   /// @return the value that names a prompt read ahead.
-  virtual std::string prompt_source(const std::string& address,
-                                    const std::string& handle) const = 0;
+  virtual std::string prompt_source_value(const std::string& address,
+                                          const std::string& handle) const = 0;
 
   /// Reads the answer to a prompt that was only read.
-  virtual tl::expected<PromptHandle, std::string> prefill_answer(const std::string& body) const = 0;
+  virtual tl::expected<PromptHandle, std::string> parse_prefill_answer(
+      const std::string& body) const = 0;
 
   /// @return the call that frees a prompt read ahead.
-  virtual OutgoingRequest release_handle(const std::string& address,
-                                         const std::string& handle) const = 0;
+  virtual OutgoingRequest release_handle_request(const std::string& address,
+                                                 const std::string& handle) const = 0;
 
   /// @return the call that asks an engine for its report.
-  virtual OutgoingRequest ask_report(const std::string& address,
-                                     const std::string& engine) const = 0;
+  virtual OutgoingRequest report_request(const std::string& address,
+                                         const std::string& engine) const = 0;
 
-  /// Reads the answer to `ask_report`.
-  virtual tl::expected<EngineReport, std::string> report(const std::string& body) const = 0;
+  /// Reads the answer to `report_request`.
+  virtual tl::expected<EngineReport, std::string> parse_report(const std::string& body) const = 0;
 
   /// @return the call that gives an order.
-  virtual OutgoingRequest stage_order(const StageOrder& order) const = 0;
+  virtual OutgoingRequest stage_order_request(const StageOrder& order) const = 0;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/engine_listener.cpp
+++ b/src/relay/engine_listener.cpp
@@ -26,8 +26,8 @@
 
 void EngineListener::on_head(const EngineId& engine, int status, const HttpHeaders& headers,
                              std::string_view request) {
-  const ReadNotice read = this->io.dialect.notice(status, headers);
-  for (const std::string& field : read.unreadable) {
+  const ParsedNotice read = this->io.dialect.parse_notice(status, headers);
+  for (const std::string& field : read.malformed_fields) {
     this->io.metrics.count_engine_notice("unreadable");
     log_event(LogArea::kControl, LogLevel::kWarning, "engine_notice_unreadable",
               {{"engine", engine.value()},
--- a/src/relay/event_cutter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -1,4 +1,4 @@
-#include "relay/event_cutter.hpp"
+#include "relay/event_splitter.hpp"
 
 #include <charconv>
 
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-bool EventCutter::feed(std::string_view piece,
-                       const std::function<void(const RawEvent&)>& handler) {
+bool EventSplitter::feed(std::string_view piece,
+                         const std::function<void(const RawEvent&)>& handler) {
   partial_ += piece;
   std::size_t begin = 0;
   while (true) {
--- a/src/relay/event_cutter.hpp
+++ b/src/relay/event_splitter.hpp
@@ -18,7 +18,7 @@
 };
 
 /// Collects pieces and hands on whole events.
-class EventCutter {
+class EventSplitter {
  public:
   /// @param handler returns false to stop.
   /// @return false when an event grows beyond `kMaxEventSize`: the stream is not usable.
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -141,7 +141,7 @@
     pull_timer_ = runtime_.after(settings_.pull_interval, [this] { pull_caches(); });
     return;
   }
-  for (const PromptRead& kept : snapshot->kept) node_.learn_prompt_read(kept);
+  for (const PromptRead& kept : snapshot->kept) node_.on_peer_prompt_read(kept);
   log_event(LogArea::kControl, LogLevel::kInfo, "caches_learned",
             {{"engines", snapshot->kept.size()}, {"bytes", answer->size()}});
 }
@@ -184,7 +184,7 @@
   message.load = node_.engines().own_load();
   message.reads = node_.take_prompt_reads();
   message.troubles = node_.take_troubles();
-  for (const LimitNews& news : node_.take_limits()) {
+  for (const LimitNews& news : node_.take_limit_updates()) {
     message.limits.push_back({news.engine, to_told(news.limit, runtime_.now())});
   }
   message.crashes = node_.quarantine().take_reports();
@@ -258,10 +258,10 @@
   for (const EngineTrouble& trouble : message.troubles) {
     node_.listener().on_peer_trouble(trouble);
   }
-  for (const ToldLimitNews& news : message.limits) node_.learn_limit(news.engine, news.limit);
+  for (const ToldLimitNews& news : message.limits) node_.on_peer_limit(news.engine, news.limit);
   node_.quarantine().learn(message.crashes);
   if (on_revisions_) on_revisions_(message.seen);
-  for (const PromptRead& read : message.reads) node_.learn_prompt_read(read);
+  for (const PromptRead& read : message.reads) node_.on_peer_prompt_read(read);
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/quarantine.cpp
+++ b/src/relay/quarantine.cpp
@@ -245,7 +245,8 @@
   const EngineView* view = this->io.engines.find_by_key(key);
   if (view == nullptr) return;
   const EngineId engine = view->record.id;
-  OutgoingRequest call = this->io.dialect.ask_report(view->record.address, view->record.own_name());
+  OutgoingRequest call =
+      this->io.dialect.report_request(view->record.address, view->record.own_name());
   call.connect_timeout = kAskTimeout;
   call.total_timeout = kAskTimeout;
   const MonotonicTime asked_at = this->io.runtime.now();
@@ -260,7 +261,7 @@
 bool Quarantine::replaced(const AskedEngine& asked, const HttpReply& reply) const {
   if (reply.status == http_status::kMisdirected) return true;
   if (reply.status != http_status::kOk) return false;
-  const auto report = this->io.dialect.report(reply.body);
+  const auto report = this->io.dialect.parse_report(reply.body);
   if (!report || !report->started_unix_ms) return false;
   return *report->started_unix_ms != asked.started_unix_ms;
 }
--- a/src/relay/relay_context.cpp
+++ b/src/relay/relay_context.cpp
@@ -6,13 +6,13 @@
 
 namespace shuntbank::relay {
 
-void RelayContext::note_read(const EngineId& engine, const std::vector<PromptPart>& parts) {
+void RelayContext::on_prompt_read(const EngineId& engine, const std::vector<PromptPart>& parts) {
   EngineView* view = engines.find(engine);
   if (view == nullptr) return;
   view->cache.on_read(parts, view->memory_tokens, runtime.now());
 }
 
-void RelayContext::note_engine_ended(const EngineId& engine) {
+void RelayContext::on_engine_ended(const EngineId& engine) {
   quarantine.on_engine_ended(engine);
   EngineView* view = engines.find(engine);
   if (view == nullptr || std::exchange(view->ended, true)) return;
@@ -23,22 +23,22 @@
              {"service", view->record.service.value()}});
 }
 
-void RelayContext::note_engine_answered(const EngineId& engine, MonotonicTime sent_at) {
+void RelayContext::on_engine_answered(const EngineId& engine, MonotonicTime sent_at) {
   quarantine.on_engine_answered(engine, sent_at);
   EngineView* view = engines.find(engine);
   if (view != nullptr) view->ended = false;
 }
 
-void RelayContext::note_limit(const LimitNews& news) {
+void RelayContext::queue_limit_update(const LimitNews& news) {
   if (!load_changed) return;
-  limits.push_back(news);
-  note_load();
+  pending_limit_updates.push_back(news);
+  notify_load_changed();
 }
 
-void RelayContext::note_trouble(const EngineTrouble& trouble) {
+void RelayContext::queue_trouble(const EngineTrouble& trouble) {
   if (!load_changed) return;
-  troubles.push_back(trouble);
-  note_load();
+  pending_troubles.push_back(trouble);
+  notify_load_changed();
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/relay_context.hpp
+++ b/src/relay/relay_context.hpp
@@ -31,29 +31,30 @@
   EngineListener& listener;
   EnginePermits& permits;
 
-  std::function<void()> load_changed;            ///< May be empty.
-  std::function<void(const TenantName&)> began;  ///< The same; a tenant's request runs.
-  std::vector<PromptRead> reads;        ///< Not yet told to other nodes; empty where none listens.
-  std::vector<EngineTrouble> troubles;  ///< The same.
-  std::vector<LimitNews> limits;        ///< The same.
+  std::function<void()> load_changed;                      ///< May be empty.
+  std::function<void(const TenantName&)> request_started;  ///< The same; a tenant's request runs.
+  std::vector<PromptRead>
+      pending_prompt_reads;  ///< Not yet told to other nodes; empty where none listens.
+  std::vector<EngineTrouble> pending_troubles;   ///< The same.
+  std::vector<LimitNews> pending_limit_updates;  ///< The same.
 
   /// An engine has read a prompt and keeps its parts.
-  void note_read(const EngineId& engine, const std::vector<PromptPart>& parts);
+  void on_prompt_read(const EngineId& engine, const std::vector<PromptPart>& parts);
 
   /// Other nodes need not find out for themselves.
-  void note_trouble(const EngineTrouble& trouble);
+  void queue_trouble(const EngineTrouble& trouble);
 
   /// An engine has changed its limit.
-  void note_limit(const LimitNews& news);
+  void queue_limit_update(const LimitNews& news);
 
   /// Nobody listens at the engine's address any more: it has ended, not just a connection to it.
-  void note_engine_ended(const EngineId& engine);
+  void on_engine_ended(const EngineId& engine);
 
   /// An engine has answered what it was sent at `sent_at`.
-  void note_engine_answered(const EngineId& engine, MonotonicTime sent_at);
+  void on_engine_answered(const EngineId& engine, MonotonicTime sent_at);
 
   /// The work under way at an engine has changed.
-  void note_load() const {
+  void notify_load_changed() const {
     if (load_changed) load_changed();
   }
 };
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -38,14 +38,14 @@
                {},         {},       {},          {},        {}},
       splits_(random_fraction(io.runtime)),
       slack_from_(io.runtime.now() + counted_for(settings.retry_budget)) {
-  quarantine_.on_news([this] { context_.note_load(); });
-  listener_.on_limit_news([this](const LimitNews& news) { context_.note_limit(news); });
-  listener_.on_trouble([this](const EngineTrouble& trouble) { context_.note_trouble(trouble); });
+  quarantine_.on_news([this] { context_.notify_load_changed(); });
+  listener_.on_limit_news([this](const LimitNews& news) { context_.queue_limit_update(news); });
+  listener_.on_trouble([this](const EngineTrouble& trouble) { context_.queue_trouble(trouble); });
 }
 
 RelayNode::~RelayNode() {
   const auto open = std::exchange(sessions_, {});
-  for (const auto& session : open) session->give_up();
+  for (const auto& session : open) session->abort();
 }
 
 bool RelayNode::adopt(RouteConfiguration configuration) {
@@ -124,7 +124,7 @@
   forget_engine(id);
 }
 
-void RelayNode::distrust_engine(const std::string& name) {
+void RelayNode::invalidate_engine(const std::string& name) {
   const EngineView* known = engines_.find_named(name);
   if (known != nullptr) forget_engine(EngineId(known->record.id));
 }
@@ -138,12 +138,12 @@
   if (address_free_) address_free_(address);
 }
 
-void RelayNode::learn_limit(const EngineId& engine, const ToldLimit& told) {
+void RelayNode::on_peer_limit(const EngineId& engine, const ToldLimit& told) {
   listener_.on_peer_limit({engine, to_heard(told, io_.runtime.now())});
 }
 
-void RelayNode::learn_prompt_read(const PromptRead& read) {
-  context_.note_read(read.engine, read.parts);
+void RelayNode::on_peer_prompt_read(const PromptRead& read) {
+  context_.on_prompt_read(read.engine, read.parts);
 }
 
 void RelayNode::set_fleet(const Fleet& fleet) {
@@ -227,16 +227,16 @@
   stopping_ = true;
 }
 
-void RelayNode::give_up_all() {
+void RelayNode::abort_all() {
   const auto open = sessions_;
-  for (const auto& session : open) session->give_up();
+  for (const auto& session : open) session->abort();
 }
 
-void RelayNode::on_adopted(std::function<void(const RouteTable&)> handler) {
+void RelayNode::on_configuration_adopted(std::function<void(const RouteTable&)> handler) {
   adopted_ = std::move(handler);
 }
 
-void RelayNode::on_address_free(std::function<void(const std::string&)> handler) {
+void RelayNode::on_address_released(std::function<void(const std::string&)> handler) {
   address_free_ = std::move(handler);
 }
 
--- a/src/relay/relay_node.hpp
+++ b/src/relay/relay_node.hpp
@@ -61,7 +61,7 @@
 
   /// Somebody else has written over an engine's record: it is not used until the engine has written
   /// again. That says nothing of its end.
-  void distrust_engine(const std::string& name);
+  void invalidate_engine(const std::string& name);
 
   /// Handles a request of a caller.
   void handle(HttpRequest request, const std::shared_ptr<ConnectionResponder>& responder);
@@ -73,10 +73,10 @@
   void begin_stop();
 
   /// Gives up what is still under way.
-  void give_up_all();
+  void abort_all();
 
   /// @return requests under way.
-  std::size_t under_way() const { return sessions_.size(); }
+  std::size_t in_flight() const { return sessions_.size(); }
 
   const RouteTable* table() const { return table_.get(); }
   EngineDirectory& engines() { return engines_; }
@@ -91,30 +91,36 @@
   }
 
   /// Sets what is called when a tenant's request has begun to run at an engine.
-  void on_began(std::function<void(const TenantName&)> handler) {
-    context_.began = std::move(handler);
+  void on_request_started(std::function<void(const TenantName&)> handler) {
+    context_.request_started = std::move(handler);
   }
 
   /// The work under way at engines has changed.
-  void note_load_changed() const { context_.note_load(); }
+  void notify_load_changed() const { context_.notify_load_changed(); }
 
   /// Tells the other nodes what was met at an engine.
-  void note_trouble(const EngineTrouble& trouble) { context_.note_trouble(trouble); }
+  void queue_trouble(const EngineTrouble& trouble) { context_.queue_trouble(trouble); }
 
   /// @return prompts that engines have read for this node since the last call.
-  std::vector<PromptRead> take_prompt_reads() { return std::exchange(context_.reads, {}); }
+  std::vector<PromptRead> take_prompt_reads() {
+    return std::exchange(context_.pending_prompt_reads, {});
+  }
 
   /// @return what was met at engines since the last call.
-  std::vector<EngineTrouble> take_troubles() { return std::exchange(context_.troubles, {}); }
+  std::vector<EngineTrouble> take_troubles() {
+    return std::exchange(context_.pending_troubles, {});
+  }
 
   /// @return limits of engines that have changed since the last call.
-  std::vector<LimitNews> take_limits() { return std::exchange(context_.limits, {}); }
+  std::vector<LimitNews> take_limit_updates() {
+    return std::exchange(context_.pending_limit_updates, {});
+  }
 
   /// An engine has read a prompt for another node.
-  void learn_prompt_read(const PromptRead& read);
+  void on_peer_prompt_read(const PromptRead& read);
 
   /// An engine has told another node its limit.
-  void learn_limit(const EngineId& engine, const ToldLimit& told);
+  void on_peer_limit(const EngineId& engine, const ToldLimit& told);
 
   /// Learns of the other relay nodes, which share the budgets.
   void set_fleet(const Fleet& fleet);
@@ -127,10 +133,10 @@
   }
 
   /// Sets what is called when a configuration came into force.
-  void on_adopted(std::function<void(const RouteTable&)> handler);
+  void on_configuration_adopted(std::function<void(const RouteTable&)> handler);
 
   /// Sets what is called with the address of an engine that is gone or has moved.
-  void on_address_free(std::function<void(const std::string&)> handler);
+  void on_address_released(std::function<void(const std::string&)> handler);
 
  private:
   void share_slack();
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -82,8 +82,9 @@
       exchange_load(loop, addresses.peers);
       report_usage();
     }
-    node_.on_adopted([this](const RouteTable& table) { take_limits(table); });
-    node_.on_address_free([this](const std::string& address) { http_.forget_peer(address); });
+    node_.on_configuration_adopted(
+        [this](const RouteTable& table) { apply_request_limits(table); });
+    node_.on_address_released([this](const std::string& address) { http_.forget_peer(address); });
     for (const std::string& address : {addresses.ready, addresses.control, addresses.metrics}) {
       if (!address.empty()) serve_state(loop, address, address == addresses.control);
     }
@@ -107,12 +108,12 @@
     node_.begin_stop();
     lease_.stop();
     callers_.close_after_answers();
-    log_event(LogArea::kProcess, LogLevel::kInfo, "stopping", {{"under_way", node_.under_way()}});
+    log_event(LogArea::kProcess, LogLevel::kInfo, "stopping", {{"under_way", node_.in_flight()}});
     stop_timer_ = std::make_unique<Periodic>(runtime_, kStopTick, [this] { stop_tick(); });
   }
 
  private:
-  void take_limits(const RouteTable& table) {
+  void apply_request_limits(const RouteTable& table) {
     const RequestLimits& limits = table.configuration().limits;
     callers_.set_limits({limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout,
                          limits.idle_timeout});
@@ -147,7 +148,7 @@
         std::make_unique<UsageExchange>(runtime_, *peers_, exchange_->peers(), exchange_->boot(),
                                         settings_.first_start, settings_.usage);
     exchange_->on_usage_message([this](std::string_view bytes) { usage_->on_message(bytes); });
-    node_.on_began([this](const TenantName& tenant) { usage_->on_began(tenant); });
+    node_.on_request_started([this](const TenantName& tenant) { usage_->on_began(tenant); });
     usage_reporter_ =
         std::make_unique<UsageReporter>(runtime_, store_, lease_, *duties_, *usage_,
                                         node_.metrics(), settings_.node, settings_.usage);
@@ -168,7 +169,7 @@
 
   HttpReply metrics() {
     RelayMetrics& metrics = node_.metrics();
-    metrics.set_gauge("requests_under_way", static_cast<double>(node_.under_way()));
+    metrics.set_gauge("requests_under_way", static_cast<double>(node_.in_flight()));
     metrics.set_gauge("callers_connected", static_cast<double>(callers_.stats().open_connections));
     metrics.set_gauge("callers_rejected", static_cast<double>(callers_.stats().rejected));
     metrics.set_gauge("engine_connections_opened", static_cast<double>(http_.stats().opened));
@@ -200,14 +201,14 @@
       drained_ = true;
       callers_.drain();
     }
-    if (elapsed >= last) node_.give_up_all();
+    if (elapsed >= last) node_.abort_all();
     const bool idle = drained_ && callers_.stats().open_connections == 0;
     if (!idle && elapsed < last) return;
     const auto stopped = std::exchange(stopped_, nullptr);
     if (!stopped) return;
     if (usage_) usage_->tell_last();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopped",
-              {{"under_way", node_.under_way()}, {"after_s", to_seconds(elapsed)}});
+              {{"under_way", node_.in_flight()}, {"after_s", to_seconds(elapsed)}});
     // The last answers are still on their way to the kernel.
     call_after(runtime_, kStopTick, stopped);
   }
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -69,12 +69,13 @@
   if (deadline) {
     expires_ = std::min(expires_, arrived_ + Duration(std::chrono::milliseconds(*deadline)));
   }
-  if (service_ != nullptr && service_->model) prompt_ = context_.dialect.prompt(request_.headers);
-  for (const std::string& name : names.from_callers_removed) request_.headers.remove(name);
+  if (service_ != nullptr && service_->model)
+    prompt_ = context_.dialect.parse_prompt(request_.headers);
+  for (const std::string& name : names.stripped_from_requests) request_.headers.remove(name);
   request_.headers = without_hop_fields(std::move(request_.headers));
   request_.headers.remove(names.deadline_ms);
   const auto resumed = whole_number(request_.headers.get(names.last_event_id));
-  if (resumed && *resumed >= 0) stream_.resume_behind(static_cast<std::uint64_t>(*resumed));
+  if (resumed && *resumed >= 0) stream_.resume_after(static_cast<std::uint64_t>(*resumed));
   return true;
 }
 
@@ -182,11 +183,11 @@
     outgoing.headers.add(names.urgency, std::to_string(urgency()));
   }
   if (step == Step::kPrefill) {
-    outgoing.headers.add(names.stage, context_.dialect.prefill_stage());
+    outgoing.headers.add(names.stage, context_.dialect.prefill_stage_value());
   }
   if (step == Step::kDecodeFromHandle) {
     outgoing.headers.add(names.prompt_source,
-                         context_.dialect.prompt_source(handle_address_, handle_));
+                         context_.dialect.prompt_source_value(handle_address_, handle_));
   }
   if (!fetch_address_.empty()) outgoing.headers.add(names.fetch_from, fetch_address_);
   if (!stream_.last_id_text().empty()) {
@@ -230,7 +231,7 @@
   collected_.clear();
   overflow_ = false;
   broken_ = false;
-  cutter_.clear();
+  splitter_.clear();
   unread_released_ = false;
   engine_held_ = true;
   sent_at_ = context_.runtime.now();
@@ -244,7 +245,7 @@
   count_send(step == Step::kPrefill);
   alone_when_sent_ = view->requests_there(sent_at_) < 0.5;
   context_.engines.on_sent(engine, {unread_, deferred_});
-  if (prompt_) context_.note_load();
+  if (prompt_) context_.notify_load_changed();
   if (step == Step::kPrefill) context_.engines.on_prompt_sent(unread_);
   context_.metrics.count_attempt(service_name_.value(),
                                  step == Step::kPrefill ? "prefill" : "answer");
@@ -343,7 +344,7 @@
   fail(http_status::kGatewayTimeout, "out of time");
 }
 
-void RelaySession::give_up() {
+void RelaySession::abort() {
   on_timeout();
 }
 
@@ -366,14 +367,14 @@
   if (!std::exchange(engine_held_, false)) return;
   context_.engines.on_ended(engine_);
   if (std::exchange(on_trial_, false)) context_.quarantine.end_trial(identity_->request, engine_);
-  if (prompt_) context_.note_load();
+  if (prompt_) context_.notify_load_changed();
   if (!unread_released_) context_.engines.on_read(engine_, {unread_, deferred_});
   unread_released_ = true;
 }
 
 void RelaySession::release_handle() {
   if (handle_.empty()) return;
-  OutgoingRequest call = context_.dialect.release_handle(handle_address_, handle_);
+  OutgoingRequest call = context_.dialect.release_handle_request(handle_address_, handle_);
   call.total_timeout = kReleaseTimeout;
   context_.http.fetch(std::move(call), [](const auto&) {});
   handle_.clear();
@@ -408,11 +409,11 @@
              {"tenant", std::string(tenant_name())},
              {"config", table_->version()},
              {"engine", engine_.value()},
-             {"events", stream_.events()},
+             {"events", stream_.event_count()},
              {"sends", history_.sends},
              {"identity", crash_standing().suspect() ? to_text(identity_->request) : std::string()},
-             {"first_ms", whole_ms(stream_.first_event_after(arrived_))},
-             {"gap_ms", whole_ms(stream_.longest_pause())},
+             {"first_ms", whole_ms(stream_.first_event_delay(arrived_))},
+             {"gap_ms", whole_ms(stream_.longest_gap())},
              {"took_ms", whole_ms(now - arrived_)}});
   const auto handler = std::exchange(on_end_, nullptr);
   if (handler) handler();
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -17,7 +17,7 @@
 #include "core/relay/request_identity.hpp"
 #include "core/relay/routes.hpp"
 #include "net/http1_server.hpp"
-#include "relay/event_cutter.hpp"
+#include "relay/event_splitter.hpp"
 #include "relay/relay_context.hpp"
 #include "relay/stream_progress.hpp"
 
@@ -41,7 +41,7 @@
   void start();
 
   /// Gives up now: the process must end.
-  void give_up();
+  void abort();
 
  private:
   /// What the attempt under way is for.
@@ -181,7 +181,7 @@
   std::string collected_;
   bool overflow_ = false;
   bool broken_ = false;
-  EventCutter cutter_;
+  EventSplitter splitter_;
 
   // Planned for the next sends.
   Placement chosen_;            ///< The last choice of an engine, with what spoke for it.
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -34,11 +34,11 @@
   heard_at_ = now;
   // The next start of an engine, at the same address, refuses what is meant for the one before:
   // that is no sign of life of that one.
-  if (status != http_status::kMisdirected) context_.note_engine_answered(engine_, sent_at_);
-  if (const auto load = context_.dialect.load(headers)) {
+  if (status != http_status::kMisdirected) context_.on_engine_answered(engine_, sent_at_);
+  if (const auto load = context_.dialect.parse_load(headers)) {
     context_.engines.on_load(now, engine_, *load);
   }
-  refused_ = context_.dialect.refused(status, headers);
+  refused_ = context_.dialect.is_refusal(status, headers);
   const HeaderNames& names = context_.dialect.names();
   const bool echoed = headers.get(names.request_id) == id_;
   if (!echoed && !refused_) broken_ = true;
@@ -67,7 +67,7 @@
     });
     return false;
   }
-  const bool usable = cutter_.feed(piece, [this](const RawEvent& event) { on_event(event); });
+  const bool usable = splitter_.feed(piece, [this](const RawEvent& event) { on_event(event); });
   broken_ = broken_ || !usable;
   return true;
 }
@@ -75,7 +75,7 @@
 /// Counted once, however many engines begin to run it.
 void RelaySession::note_began() {
   if (tenant_ == nullptr || std::exchange(began_, true)) return;
-  if (context_.began) context_.began(tenant_->name);
+  if (context_.request_started) context_.request_started(tenant_->name);
 }
 
 void RelaySession::on_event(const RawEvent& event) {
@@ -90,7 +90,7 @@
           .on_handed_over(context_.runtime.now() - sent_at_, deferred_);
     }
   }
-  if (!stream_.may_follow(event)) {
+  if (!stream_.in_order(event)) {
     broken_ = true;
     return;
   }
@@ -99,18 +99,19 @@
     context_.metrics.observe_first_event(service_name_.value(), context_.runtime.now() - arrived_);
   }
   const MonotonicTime now = context_.runtime.now();
-  const auto pause = stream_.pass_on(now, event);
+  const auto pause = stream_.on_forwarded(now, event);
   if (pause) context_.engines.on_event_gap(now, engine_, *pause);
   responder_->write(event.bytes);
 }
 
 /// Parts that other requests share are told to the other nodes; the last one is this request's own.
 void RelaySession::note_prompt_read() {
-  context_.note_read(engine_, prompt_->parts);
+  context_.on_prompt_read(engine_, prompt_->parts);
   // Without an exchange nobody would ever take them.
   if (prompt_->parts.size() < 2 || !context_.load_changed) return;
-  context_.reads.push_back({engine_, {prompt_->parts.begin(), prompt_->parts.end() - 1}});
-  context_.note_load();
+  context_.pending_prompt_reads.push_back(
+      {engine_, {prompt_->parts.begin(), prompt_->parts.end() - 1}});
+  context_.notify_load_changed();
 }
 
 AttemptHealth RelaySession::refusal_health() const {
@@ -132,7 +133,7 @@
   const bool refuses = health == AttemptHealth::kBusy && has_room && (rests || again);
   if (!misdirected && !refuses && health != AttemptHealth::kUnreachable) return;
   const TroubleKind kind = misdirected ? TroubleKind::kMisdirected : TroubleKind::kUnusable;
-  context_.note_trouble({engine_, view->record.stage, kind});
+  context_.queue_trouble({engine_, view->record.stage, kind});
 }
 
 void RelaySession::begin_stream() {
@@ -142,7 +143,8 @@
 
 HttpHeaders RelaySession::forwarded_answer_fields() const {
   HttpHeaders fields = without_hop_fields(headers_);
-  for (const std::string& name : context_.dialect.names().from_engines_removed) fields.remove(name);
+  for (const std::string& name : context_.dialect.names().stripped_from_answers)
+    fields.remove(name);
   return fields;
 }
 
@@ -173,14 +175,14 @@
   // It may have another turn there.
   if (withdrawn && context_.permits.limited(engine_)) return set_out_again(engine_);
   if (!withdrawn) note_health(not_sent ? AttemptHealth::kUnreachable : AttemptHealth::kFailed);
-  if (error.connection_refused) context_.note_engine_ended(engine_);
+  if (error.connection_refused) context_.on_engine_ended(engine_);
   if (withdrawn || not_sent) return attempt_failed(AttemptOutcome::kNotSent, error.message);
   note_broken();
   attempt_failed(AttemptOutcome::kUncertain, error.message);
 }
 
 void RelaySession::on_prefill_answer() {
-  const auto handle = context_.dialect.prefill_answer(collected_);
+  const auto handle = context_.dialect.parse_prefill_answer(collected_);
   if (!is_success(status_) || !handle) {
     note_health(AttemptHealth::kFailed);
     return attempt_failed(AttemptOutcome::kUncertain, "the prompt was not read");
@@ -220,12 +222,12 @@
 }
 
 void RelaySession::on_stream_end() {
-  if (cutter_.has_partial()) {
+  if (splitter_.has_partial()) {
     note_health(AttemptHealth::kFailed);
     return attempt_failed(AttemptOutcome::kUncertain, "the stream ended inside an event");
   }
   note_health(AttemptHealth::kGood);
-  if (const auto pause = stream_.mean_pause()) {
+  if (const auto pause = stream_.mean_gap()) {
     context_.engines.model_of(service_name_).on_stream_pace(*pause);
   }
   if (identity_) context_.quarantine.on_answered(identity_->request);
--- a/src/relay/role_coordinator.cpp
+++ b/src/relay/role_coordinator.cpp
@@ -39,7 +39,7 @@
 /// Asks how many orders the engine has taken, so that the order which follows is refused if another
 /// one, such as a late one of an earlier holder, comes between.
 void RoleCoordinator::ask(const EngineRecord& record, EngineStage stage) {
-  OutgoingRequest call = io_.dialect.ask_report(record.address, record.own_name());
+  OutgoingRequest call = io_.dialect.report_request(record.address, record.own_name());
   call.total_timeout = settings_.order_timeout;
   call.connect_timeout = settings_.order_timeout;
   ++orders_under_way_;
@@ -53,7 +53,7 @@
 
 void RoleCoordinator::on_report(const EngineRecord& record, EngineStage stage,
                                 const HttpReply& reply) {
-  const auto report = io_.dialect.report(reply.body);
+  const auto report = io_.dialect.parse_report(reply.body);
   if (!report) return;
   // Another start of the engine answers: the order was meant for the one before.
   const std::uint64_t started = report->started_unix_ms.value_or(record.started_unix_ms);
@@ -62,7 +62,7 @@
   listener.on_head(record.id, reply.status, reply.headers);
   if (report->leaving) listener.on_leaving(record.id);
   if (node_.engines().notices().leaving(record.id)) return;
-  if (report->changing || report->stage == stage) return;
+  if (report->order_in_progress || report->stage == stage) return;
   order(record, stage, *report);
 }
 
@@ -77,8 +77,8 @@
   order.stage = stage;
   order.holder = lease_.holder();
   order.fence = *fence;
-  order.expected_orders = report.orders_taken;
-  OutgoingRequest call = io_.dialect.stage_order(order);
+  order.expected_orders = report.orders_accepted;
+  OutgoingRequest call = io_.dialect.stage_order_request(order);
   call.total_timeout = settings_.order_timeout;
   call.connect_timeout = settings_.order_timeout;
   ++orders_under_way_;
@@ -86,7 +86,7 @@
             {{"engine", record.id.value()},
              {"stage", to_text(stage)},
              {"fence", *fence},
-             {"expected", report.orders_taken}});
+             {"expected", report.orders_accepted}});
   io_.http.fetch(std::move(call), [this, alive = alive_, id = record.id](
                                       const tl::expected<HttpReply, TransferError>& reply) {
     if (!*alive) return;
--- a/src/relay/stream_progress.cpp
+++ b/src/relay/stream_progress.cpp
@@ -5,11 +5,11 @@
 
 namespace shuntbank::relay {
 
-bool StreamProgress::may_follow(const RawEvent& event) const {
+bool StreamProgress::in_order(const RawEvent& event) const {
   return !event.id || !this->last_id || *event.id > *this->last_id;
 }
 
-std::optional<Duration> StreamProgress::pass_on(MonotonicTime now, const RawEvent& event) {
+std::optional<Duration> StreamProgress::on_forwarded(MonotonicTime now, const RawEvent& event) {
   if (event.id) {
     this->last_id = event.id;
     this->last_text = std::string(event.id_text);
@@ -24,11 +24,11 @@
   return pause;
 }
 
-Duration StreamProgress::first_event_after(MonotonicTime since) const {
+Duration StreamProgress::first_event_delay(MonotonicTime since) const {
   return this->count > 0 ? this->first_at - since : Duration::zero();
 }
 
-std::optional<Duration> StreamProgress::mean_pause() const {
+std::optional<Duration> StreamProgress::mean_gap() const {
   if (this->count < 2) return std::nullopt;
   return (this->last_at - this->first_at) / static_cast<int>(this->count - 1);
 }
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -193,11 +193,11 @@
   EngineDirectory& engines = this->node.engines();
   for (const KeyedRead& read : news.reads) {
     const EngineView* engine = engines.find_by_key(read.engine);
-    if (engine != nullptr) this->node.learn_prompt_read({engine->record.id, read.parts});
+    if (engine != nullptr) this->node.on_peer_prompt_read({engine->record.id, read.parts});
   }
   for (const KeyedLimit& keyed : news.limits) {
     const EngineView* engine = engines.find_by_key(keyed.engine);
-    if (engine != nullptr) this->node.learn_limit(engine->record.id, keyed.limit);
+    if (engine != nullptr) this->node.on_peer_limit(engine->record.id, keyed.limit);
   }
   for (const KeyedTrouble& trouble : news.troubles) {
     const EngineView* engine = engines.find_by_key(trouble.engine);
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -70,7 +70,7 @@
 
 Test(platform_dialect, removes_what_only_the_system_sets_and_the_callers_key) {
   const PlatformDialect dialect;
-  const auto& removed = dialect.names().from_callers_removed;
+  const auto& removed = dialect.names().stripped_from_requests;
   for (const char* name :
        {"X-Api-Key", "X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "X-Kv-Source"}) {
     cr_assert(std::find(removed.begin(), removed.end(), name) != removed.end(), "%s", name);
@@ -177,63 +177,63 @@
 Test(platform_dialect, reads_what_an_engine_says_of_itself) {
   using namespace std::chrono_literals;
   const PlatformDialect dialect;
-  cr_assert(dialect.notice(200, {{"server-leaving", "1"}}).notice.leaving);
-  cr_assert_eq(dialect.notice(503, {{"Retry-After", "3"}}).notice.rest, Duration(3s));
-  cr_assert_eq(dialect.notice(429, {{"Retry-After", "0.25"}}).notice.rest, Duration(250ms));
-  const auto both = dialect.notice(503, {{"Server-Leaving", "1"}, {"Retry-After", "2"}});
+  cr_assert(dialect.parse_notice(200, {{"server-leaving", "1"}}).notice.leaving);
+  cr_assert_eq(dialect.parse_notice(503, {{"Retry-After", "3"}}).notice.rest, Duration(3s));
+  cr_assert_eq(dialect.parse_notice(429, {{"Retry-After", "0.25"}}).notice.rest, Duration(250ms));
+  const auto both = dialect.parse_notice(503, {{"Server-Leaving", "1"}, {"Retry-After", "2"}});
   cr_assert(both.notice.leaving);
   cr_assert_eq(both.notice.rest, Duration(2s));
-  cr_assert_eq(dialect.notice(200, {{"Retry-After", "3"}}).notice, relay::EngineNotice(),
+  cr_assert_eq(dialect.parse_notice(200, {{"Retry-After", "3"}}).notice, relay::EngineNotice(),
                "only who is turned away is asked to wait");
 }
 
 Test(platform_dialect, takes_the_longest_of_two_waits_and_says_what_it_cannot_read) {
   using namespace std::chrono_literals;
   const PlatformDialect dialect;
-  cr_assert_eq(dialect.notice(503, {{"Retry-After", "1"}, {"Retry-After", "4"}}).notice.rest,
+  cr_assert_eq(dialect.parse_notice(503, {{"Retry-After", "1"}, {"Retry-After", "4"}}).notice.rest,
                Duration(4s));
   for (const char* value : {"-1", "soon", "", "1e3", "nan", "inf", "2, 3", "0x10", "3s",
                             "Wed, 21 Oct 2026 07:28:00 GMT"}) {
-    const auto read = dialect.notice(503, {{"Retry-After", value}});
+    const auto read = dialect.parse_notice(503, {{"Retry-After", value}});
     cr_assert_not(read.notice.rest.has_value(), "%s", value);
-    cr_assert_eq(read.unreadable.size(), 1, "%s", value);
+    cr_assert_eq(read.malformed_fields.size(), 1, "%s", value);
   }
-  const auto huge = dialect.notice(503, {{"Retry-After", std::string(300, '9')}}).notice.rest;
+  const auto huge = dialect.parse_notice(503, {{"Retry-After", std::string(300, '9')}}).notice.rest;
   cr_assert(!huge || *huge > 24h, "not a short wait, nor a negative one");
-  cr_assert_eq(dialect.notice(200, {{"Server-Leaving", "0"}}).notice, relay::EngineNotice());
-  cr_assert(dialect.notice(200, {{"Server-Leaving", "0"}}).unreadable.empty());
+  cr_assert_eq(dialect.parse_notice(200, {{"Server-Leaving", "0"}}).notice, relay::EngineNotice());
+  cr_assert(dialect.parse_notice(200, {{"Server-Leaving", "0"}}).malformed_fields.empty());
   for (const char* value : {"yes", "", "11"}) {
-    const auto read = dialect.notice(200, {{"Server-Leaving", value}});
+    const auto read = dialect.parse_notice(200, {{"Server-Leaving", value}});
     cr_assert_not(read.notice.leaving);
-    cr_assert_eq(read.unreadable.size(), 1);
+    cr_assert_eq(read.malformed_fields.size(), 1);
   }
 }
 
 Test(platform_dialect, reads_how_many_requests_a_second_an_engine_takes) {
   const PlatformDialect dialect;
   const auto limit = [&](const char* value) {
-    return dialect.notice(200, {{"server-limit", value}}).notice.limit;
+    return dialect.parse_notice(200, {{"server-limit", value}}).notice.limit;
   };
   cr_assert_eq(limit("1.3"), 1.3);
   for (const char* nothing : {"0", "0.0"}) cr_assert_eq(limit(nothing), 0.0);
   cr_assert_eq(limit(".5"), 0.5);
   cr_assert_eq(limit("20"), 20.0);
   cr_assert_eq(limit(std::string(200, '9').c_str()).has_value(), true, "as good as none");
-  const auto twice = dialect.notice(503, {{"Server-Limit", "4"}, {"Server-Limit", "2"}});
+  const auto twice = dialect.parse_notice(503, {{"Server-Limit", "4"}, {"Server-Limit", "2"}});
   cr_assert_eq(twice.notice.limit, 2.0, "the lower one holds");
-  cr_assert_not(dialect.notice(200, {}).notice.names_limit);
+  cr_assert_not(dialect.parse_notice(200, {}).notice.names_limit);
 }
 
 Test(platform_dialect, names_a_limit_that_it_cannot_read_and_takes_it_for_no_end) {
   const PlatformDialect dialect;
   for (const char* value :
        {"", "-1", "-0", "+1", "1e3", "nan", "inf", "1,3", "1.3, 2", "two", "0x10", " 1", "1 "}) {
-    const auto read = dialect.notice(200, {{"Server-Limit", value}});
+    const auto read = dialect.parse_notice(200, {{"Server-Limit", value}});
     cr_assert_not(read.notice.limit.has_value(), "%s", value);
     cr_assert(read.notice.names_limit, "%s", value);
-    cr_assert_eq(read.unreadable.size(), 1, "%s", value);
+    cr_assert_eq(read.malformed_fields.size(), 1, "%s", value);
   }
-  const auto mixed = dialect.notice(200, {{"Server-Limit", "soon"}, {"Server-Limit", "2"}});
+  const auto mixed = dialect.parse_notice(200, {{"Server-Limit", "soon"}, {"Server-Limit", "2"}});
   cr_assert_eq(mixed.notice.limit, 2.0);
 }
 
@@ -241,7 +241,7 @@
   const PlatformDialect dialect;
   const auto leaving = [&](const char* more) {
     const std::string body = std::string(R"({"stage":"decode","sequence":2)") + more + "}";
-    return dialect.report(body).value().leaving;
+    return dialect.parse_report(body).value().leaving;
   };
   cr_assert(leaving(R"(,"state":"draining")"));
   cr_assert_not(leaving(R"(,"state":"ready")"));
@@ -251,18 +251,18 @@
 Test(platform_dialect, reads_prompts_and_load) {
   const PlatformDialect dialect;
   const auto prompt =
-      dialect.prompt({{"X-Model", "m"},
-                      {"X-Token-Counts", "1460,80"},
-                      {"X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}});
+      dialect.parse_prompt({{"X-Model", "m"},
+                            {"X-Token-Counts", "1460,80"},
+                            {"X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}});
   cr_assert(prompt.has_value());
   cr_assert_eq(prompt->prompt_tokens, 1460);
   cr_assert_eq(*prompt->shared_part(), 0x91bd3f06);
-  cr_assert_not(dialect.prompt({{"X-Model", "m"}, {"X-Token-Counts", "many"}}).has_value());
-  cr_assert_eq(dialect.load({{"X-Server-Load", "3,1,8"}})->waiting, 1);
-  cr_assert_not(dialect.load({{"X-Server-Load", "3,-1,8"}}).has_value());
-  cr_assert(dialect.refused(503, {{"X-Not-Executed", "1"}}));
-  cr_assert(dialect.refused(421, {}));
-  cr_assert_not(dialect.refused(503, {}));
+  cr_assert_not(dialect.parse_prompt({{"X-Model", "m"}, {"X-Token-Counts", "many"}}).has_value());
+  cr_assert_eq(dialect.parse_load({{"X-Server-Load", "3,1,8"}})->waiting, 1);
+  cr_assert_not(dialect.parse_load({{"X-Server-Load", "3,-1,8"}}).has_value());
+  cr_assert(dialect.is_refusal(503, {{"X-Not-Executed", "1"}}));
+  cr_assert(dialect.is_refusal(421, {}));
+  cr_assert_not(dialect.is_refusal(503, {}));
 }
 
 Test(platform_store, lists_all_pages_and_tells_errors_apart) {
--- a/tests/relay/catalog_slow_link_test.cpp
+++ b/tests/relay/catalog_slow_link_test.cpp
@@ -56,9 +56,9 @@
   /// New versions that the store's answers to this node do not tell of.
   void miss(int count) {
     others_tell = false;
-    store.deaf = true;
+    store.drop_notifications = true;
     for (int i = 0; i < count; ++i) change();
-    store.deaf = false;
+    store.drop_notifications = false;
     others_tell = true;
   }
 
--- a/tests/relay/crashing_request_test.cpp
+++ b/tests/relay/crashing_request_test.cpp
@@ -85,8 +85,8 @@
 };
 
 /// A caller tries again and again, each time after all that it has sent has ended its engine.
-std::shared_ptr<SeenReply> try_again_and_again(RelayFixture& site, EndingEngines& engines) {
-  std::shared_ptr<SeenReply> seen;
+std::shared_ptr<RecordedReply> try_again_and_again(RelayFixture& site, EndingEngines& engines) {
+  std::shared_ptr<RecordedReply> seen;
   for (int i = 0; i < kTries; ++i) {
     seen = site.request(kPath, {{"id", "t" + std::to_string(i)}}, "GET", "");
     engines.end_all();
@@ -178,7 +178,7 @@
   const std::size_t sent = site.http.count();
   const auto seen = site.request(kPath, {}, "GET", "");
   cr_assert_eq(site.http.count(), sent + 1, "nothing is known against this one");
-  site.http.answer(sent, 200, RelayFixture::sealed(), "whole");
+  site.http.answer(sent, 200, RelayFixture::sealed_headers(), "whole");
   cr_assert_eq(seen->status, 200);
   site.caller_address = "10.0.0.1";
   site.request(kPath, {}, "GET", "");
--- a/tests/relay/engine_limit_test.cpp
+++ b/tests/relay/engine_limit_test.cpp
@@ -43,7 +43,7 @@
 void name_limit(RelayFixture& site, const std::string& path, const char* a_second) {
   const std::size_t next = site.http.count();
   site.request(path);
-  HttpHeaders headers = RelayFixture::sealed();
+  HttpHeaders headers = RelayFixture::sealed_headers();
   headers.add("limit", a_second);
   site.http.answer(next, 200, headers, path == "/stream/a" ? "id: 1\ndata: a\n\n" : "whole");
 }
@@ -174,7 +174,7 @@
     return is_granted;
   };
   cr_assert(granted());
-  keeper.runtime.stand_still(2s);
+  keeper.runtime.stall(2s);
   cr_assert_not(granted());
 }
 
@@ -188,7 +188,7 @@
   site.request("/once/a");
   site.runtime.advance(200ms);
   cr_assert_eq(site.http.count(), 2);
-  site.caller->caller_leaves();
+  site.caller->disconnect();
   cr_assert(site.http.at(1).cancelled);
   site.request("/once/b");
   cr_assert_eq(site.http.count(), 2, "it waits for its turn");
--- a/tests/relay/engine_notice_test.cpp
+++ b/tests/relay/engine_notice_test.cpp
@@ -28,7 +28,7 @@
 const HttpHeaders kAsksForRest{{"id", "r1"}, {"refused", "1"}, {"rest-seconds", "3"}};
 
 HttpHeaders sealed_and_leaving() {
-  HttpHeaders headers = RelayFixture::sealed();
+  HttpHeaders headers = RelayFixture::sealed_headers();
   headers.add("leaving", "1");
   return headers;
 }
@@ -62,7 +62,8 @@
   site.http.begin(1, 200, sealed_and_leaving());
   for (int i = 0; i < 12; ++i) {
     cr_assert_eq(engine_that_answers(site), "d2", "also whoever takes up a prompt read apart");
-    site.http.answer(site.http.count() - 1, 200, RelayFixture::sealed(), "id: 1\ndata: a\n\n");
+    site.http.answer(site.http.count() - 1, 200, RelayFixture::sealed_headers(),
+                     "id: 1\ndata: a\n\n");
     site.runtime.advance(500ms);
     // What the store says of it is older than what it says itself.
     site.add_engine("d1", "model", EngineStage::kDecode);
@@ -91,7 +92,7 @@
   site.add_engine("e2", "plain");
   site.http.fail(1, TransferFailure::kWithdrawn);
   cr_assert_eq(engine_of(site, 2), "e2", "it may run once only, and has reached nobody");
-  site.http.answer(2, 200, RelayFixture::sealed(), "whole");
+  site.http.answer(2, 200, RelayFixture::sealed_headers(), "whole");
   cr_assert_eq(waiting->status, 200);
   site.runtime.advance(3s);
   cr_assert_lt(site.node->engines().find(EngineId("e1"))->failure_share, 0.01,
@@ -156,14 +157,14 @@
   const auto kept = site.request("/once/b");
   const auto left = site.request("/once/c");
   cr_assert_eq(kept->status, 0, "the objective is 1 s");
-  site.caller->caller_leaves();
-  cr_assert_eq(site.node->under_way(), 1);
+  site.caller->disconnect();
+  cr_assert_eq(site.node->in_flight(), 1);
   site.runtime.advance(299ms);
   cr_assert_eq(site.http.count(), 2);
   site.runtime.advance(1ms);
   cr_assert_eq(site.http.count(), 3, "nobody waits any more for the other");
   cr_assert_eq(engine_of(site, 2), "e2");
-  site.http.answer(2, 200, RelayFixture::sealed(), "whole");
+  site.http.answer(2, 200, RelayFixture::sealed_headers(), "whole");
   cr_assert_eq(kept->status, 200);
   cr_assert_eq(left->status, 0);
 }
@@ -259,7 +260,7 @@
       case 0:
         return this->site.node->remove_engine(name);
       case 1:
-        return this->site.node->distrust_engine(name);
+        return this->site.node->invalidate_engine(name);
       case 2:
         this->moved[engine] = !this->moved[engine];
         return this->write(engine);
@@ -284,7 +285,7 @@
     if (how == 0) return this->site.http.fail(transfer, TransferFailure::kUncertain);
     if (how == 1) return this->site.http.fail(transfer, TransferFailure::kNothingSent);
     const bool refused = how < 5;
-    HttpHeaders headers = RelayFixture::sealed();
+    HttpHeaders headers = RelayFixture::sealed_headers();
     const std::string& start = this->sent_to[transfer];
     if (drawn / 64 % 4 == 0) {
       headers.add("leaving", "1");
--- a/tests/relay/event_cutter_test.cpp
+++ b/tests/relay/event_splitter_test.cpp
@@ -1,10 +1,10 @@
-#include "relay/event_cutter.hpp"
+#include "relay/event_splitter.hpp"
 
 #include "support/property.hpp"
 
 using namespace shuntbank::relay;
 
-Test(event_cutter, gives_the_same_events_however_the_bytes_are_cut) {
+Test(event_splitter, gives_the_same_events_however_the_bytes_are_cut) {
   SHUNTBANK_PROPERTY("whole events, in order, byte for byte", [] {
     const auto lengths = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 40));
     std::string stream;
@@ -12,7 +12,7 @@
       const std::string end = i % 2 == 0 ? "\n\n" : "\r\n\r\n";
       stream += "id: " + std::to_string(i + 1) + "\ndata: " + std::string(lengths[i], 'x') + end;
     }
-    EventCutter cutter;
+    EventSplitter splitter;
     std::string out;
     std::uint64_t last = 0;
     std::size_t begin = 0;
@@ -20,7 +20,7 @@
       const auto size = *rc::gen::inRange<std::size_t>(1, 30);
       const std::string piece = stream.substr(begin, size);
       begin += piece.size();
-      RC_ASSERT(cutter.feed(piece, [&](const RawEvent& event) {
+      RC_ASSERT(splitter.feed(piece, [&](const RawEvent& event) {
         out += event.bytes;
         RC_ASSERT(event.id == last + 1);
         last = *event.id;
@@ -28,13 +28,13 @@
     }
     RC_ASSERT(out == stream);
     RC_ASSERT(last == lengths.size());
-    RC_ASSERT(!cutter.has_partial());
+    RC_ASSERT(!splitter.has_partial());
   });
 }
 
-Test(event_cutter, refuses_an_event_without_end) {
-  EventCutter cutter;
-  const std::string piece(EventCutter::kMaxEventSize, 'x');
-  cr_assert(cutter.feed(piece, [](const RawEvent&) {}));
-  cr_assert_not(cutter.feed("more", [](const RawEvent&) {}));
+Test(event_splitter, refuses_an_event_without_end) {
+  EventSplitter splitter;
+  const std::string piece(EventSplitter::kMaxEventSize, 'x');
+  cr_assert(splitter.feed(piece, [](const RawEvent&) {}));
+  cr_assert_not(splitter.feed("more", [](const RawEvent&) {}));
 }
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -72,7 +72,7 @@
   ExchangingFleet fleet(60, 5);
   fleet.runtime.advance(4s);
   RelayFixture& site = *fleet.sites[3];
-  site.node->note_trouble(
+  site.node->queue_trouble(
       {EngineId("p1"), EngineStage::kPrefill, relay::TroubleKind::kMisdirected});
   site.add_engine("d1", "model", EngineStage::kDecode);
   site.request("/stream/a", {{"tokens", "20000"}});
@@ -159,7 +159,7 @@
     const int before = fleet.transports[0]->sent;
     for (int change = 0; change < 1000; ++change) {
       fleet.sites[0]->node->engines().on_sent(EngineId("p1"), {10, false});
-      fleet.sites[0]->node->note_load_changed();
+      fleet.sites[0]->node->notify_load_changed();
       fleet.runtime.advance(1ms);
     }
     most = std::max(most, fleet.transports[0]->sent - before);
@@ -170,7 +170,7 @@
 Test(load_exchange, lets_a_node_that_joins_learn_what_the_engines_keep) {
   ExchangingFleet fleet(3);
   fleet.runtime.advance(3s);
-  for (const auto& site : fleet.sites) site->node->learn_prompt_read({EngineId("p1"), kParts});
+  for (const auto& site : fleet.sites) site->node->on_peer_prompt_read({EngineId("p1"), kParts});
   relay::LoadExchangeSettings joins;
   joins.joins = true;
   fleet.add(joins);
@@ -199,7 +199,7 @@
   fleet.exchanges[1]->connect_revisions([] { return relay::StoreProgress{}; },
                                         [&heard](const auto& seen) { heard = seen; });
   fleet.runtime.advance(3s);
-  fleet.sites[0]->node->note_trouble(
+  fleet.sites[0]->node->queue_trouble(
       {EngineId("p1"), EngineStage::kPrefill, relay::TroubleKind::kMisdirected});
   fleet.runtime.advance(100ms);
   cr_assert_gt(fleet.engine(1).avoided_until, fleet.runtime.now());
--- a/tests/relay/relay_process_test.cpp
+++ b/tests/relay/relay_process_test.cpp
@@ -99,7 +99,7 @@
   Running running;
   const auto answer = running.begin(running.addresses.callers, "/safe/a");
   running.wait_for_engine();
-  running.held->respond({200, RelayFixture::sealed(), "whole"});
+  running.held->respond({200, RelayFixture::sealed_headers(), "whole"});
   while (!answer->over) running.loop.run_one();
   cr_assert_eq(answer->status, 200);
   cr_assert_eq(answer->body, "whole");
@@ -116,7 +116,7 @@
   while (running.ask(running.addresses.callers, "/nowhere").status != 0) continue;
   cr_assert_not(stopped, "a request is under way");
   cr_assert_not(answer->over);
-  running.held->respond({200, RelayFixture::sealed(), "whole"});
+  running.held->respond({200, RelayFixture::sealed_headers(), "whole"});
   while (!answer->over) running.loop.run_one();
   cr_assert_eq(answer->status, 200, "what was taken is answered");
   while (!stopped) running.loop.run_one();
--- a/tests/relay/relay_session_test.cpp
+++ b/tests/relay/relay_session_test.cpp
@@ -22,7 +22,7 @@
   cr_assert_eq(sent.headers.get("own"), "kept");
   cr_assert_eq(sent.headers.get("for-engine"), "e1");
   cr_assert_eq(sent.headers.get("deadline"), "900");
-  site.http.answer(0, 201, RelayFixture::sealed(), "made");
+  site.http.answer(0, 201, RelayFixture::sealed_headers(), "made");
   cr_assert_eq(seen->status, 201);
   cr_assert_eq(seen->body, "made");
   cr_assert_eq(seen->headers.get("seal"), "s");
@@ -74,7 +74,7 @@
   cr_assert_eq(site.http.count(), 3);
   cr_assert_neq(site.http.at(2).request.headers.get("for-engine"),
                 site.http.at(0).request.headers.get("for-engine"));
-  site.http.answer(2, 200, RelayFixture::sealed(), "whole");
+  site.http.answer(2, 200, RelayFixture::sealed_headers(), "whole");
   cr_assert_eq(seen->status, 200);
 }
 
@@ -92,8 +92,8 @@
   site.add_engine("e1", "plain");
   site.add_engine("e2", "plain");
   const auto seen = site.request("/safe/a", {}, "GET", "");
-  site.http.answer(0, 500, RelayFixture::sealed(), "first failure");
-  site.http.answer(1, 500, RelayFixture::sealed(), "second failure");
+  site.http.answer(0, 500, RelayFixture::sealed_headers(), "first failure");
+  site.http.answer(1, 500, RelayFixture::sealed_headers(), "second failure");
   cr_assert_eq(site.http.count(), 2, "no more engines than the route allows");
   cr_assert_eq(seen->status, 500);
   cr_assert_eq(seen->body, "second failure");
@@ -116,17 +116,17 @@
   site.add_engine("e1", "plain");
   site.request("/once/a");
   const auto& belongs = site.http.at(0).request.belongs;
-  cr_assert(belongs(200, RelayFixture::sealed("r1")));
-  cr_assert_not(belongs(200, RelayFixture::sealed("r0")));
+  cr_assert(belongs(200, RelayFixture::sealed_headers("r1")));
+  cr_assert_not(belongs(200, RelayFixture::sealed_headers("r0")));
 }
 
 Test(relay_session, cancels_at_once_when_the_caller_leaves) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.request("/once/a");
-  site.caller->caller_leaves();
+  site.caller->disconnect();
   cr_assert(site.http.at(0).cancelled);
-  cr_assert_eq(site.node->under_way(), 0);
+  cr_assert_eq(site.node->in_flight(), 0);
 }
 
 Test(relay_session, ends_at_the_routes_timeout_with_no_promise_once_it_was_sent) {
@@ -161,7 +161,7 @@
   cr_assert_eq(site.http.at(1).request.headers.get("for-engine"), "d");
   cr_assert_eq(site.http.at(1).request.headers.get("source"), "p:80/h1");
   cr_assert_eq(site.http.at(1).request.headers.count("stage"), 0);
-  site.http.answer(1, 200, RelayFixture::sealed(), "id: 1\ndata: a\n\n");
+  site.http.answer(1, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
   cr_assert_eq(seen->body, "id: 1\ndata: a\n\n");
   cr_assert(seen->finished);
   cr_assert_eq(site.http.count(), 2, "a handle that was taken is not freed");
@@ -173,7 +173,7 @@
   site.add_engine("d", "model", EngineStage::kDecode);
   site.request("/stream/a", {{"tokens", "20000"}});
   site.http.answer(0, 200, {{"id", "r1"}}, "h1");
-  site.caller->caller_leaves();
+  site.caller->disconnect();
   cr_assert(site.http.at(1).cancelled);
   cr_assert_eq(site.http.at(2).request.method, "DELETE");
   cr_assert_eq(site.http.at(2).request.url, "http://p:80/handle/h1");
@@ -203,7 +203,7 @@
   RelayFixture site;
   site.add_engine("d", "model", EngineStage::kDecode);
   const auto seen = site.request("/stream/a", {{"tokens", "100"}});
-  site.http.begin(0, 200, RelayFixture::sealed());
+  site.http.begin(0, 200, RelayFixture::sealed_headers());
   site.http.piece(0, "id: 1\ndata: a\n\nid: 2\nda");
   site.http.finish(0);
   cr_assert_eq(seen->body, "id: 1\ndata: a\n\n", "only whole events go on");
@@ -226,7 +226,7 @@
   site.http.answer(1, 200, {{"id", "r1"}, {"seal", "second"}}, "id: 2\ndata: b\n\n");
   cr_assert_eq(seen->body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   cr_assert_eq(seen->headers.get("seal"), "first");
-  cr_assert_eq(seen->heads, 1);
+  cr_assert_eq(seen->head_count, 1);
   cr_assert(seen->finished);
 }
 
@@ -235,10 +235,10 @@
   site.add_engine("d1", "model", EngineStage::kDecode);
   site.add_engine("d2", "model", EngineStage::kDecode);
   const auto seen = site.request("/resumable/a", {{"tokens", "100"}});
-  site.http.begin(0, 200, RelayFixture::sealed());
+  site.http.begin(0, 200, RelayFixture::sealed_headers());
   site.http.piece(0, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   site.http.fail(0, TransferFailure::kUncertain);
-  site.http.answer(1, 200, RelayFixture::sealed(), "id: 1\ndata: a\n\n");
+  site.http.answer(1, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
   cr_assert_eq(seen->body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   cr_assert(seen->aborted);
 }
@@ -262,7 +262,8 @@
     read_directly += apart ? 0 : 1;
     if (apart && !again) cr_assert_eq(seen->status, 503);
     const std::size_t last = site.http.count() - 1;
-    if (!apart || again) site.http.answer(last, 200, RelayFixture::sealed(), "id: 1\ndata: a\n\n");
+    if (!apart || again)
+      site.http.answer(last, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
     site.runtime.advance(10ms);
   }
   // The share of one of 8 nodes: 80 / 8 and half of a fifth of its own 60 requests.
@@ -296,7 +297,7 @@
   RelayFixture site;
   site.settings.retry_budget.slack = 0;
   site.settings.retry_budget.ratio = 2;
-  site.start_anew();
+  site.restart();
   for (const char* id : {"d", "e", "f"}) site.add_engine(id, "model", EngineStage::kDecode);
   // Each request is worth one extra send.
   for (int i = 0; i < 2; ++i) site.request("/stream/a", {{"tokens", "20000"}});
--- a/tests/relay/role_coordinator_test.cpp
+++ b/tests/relay/role_coordinator_test.cpp
@@ -108,7 +108,7 @@
   site.runtime.advance(7s);
   cr_assert_eq(count_of(site, "/report"), 1);
   // The report is answered when the process wakes: the lease has run out by its own clock.
-  site.runtime.stand_still(20s);
+  site.runtime.stall(20s);
   site.http.answer(0, 200, {}, "decode");
   cr_assert_eq(count_of(site, "/order"), 0);
 }
--- a/tests/relay/support/exchanging_fleet.hpp
+++ b/tests/relay/support/exchanging_fleet.hpp
@@ -74,7 +74,7 @@
   /// A node sends a prompt of ten tokens to the engine.
   void send_one(std::size_t node) {
     this->sites[node]->node->engines().on_sent(EngineId("p1"), {10, false});
-    this->sites[node]->node->note_load_changed();
+    this->sites[node]->node->notify_load_changed();
   }
 
   /// @return the nodes that collect now.
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -99,13 +99,13 @@
   seen_->headers = reply.headers;
   seen_->body = reply.body;
   seen_->finished = true;
-  ++seen_->heads;
+  ++seen_->head_count;
 }
 
 void RecordingResponder::begin_stream(int status, const HttpHeaders& headers) {
   seen_->status = status;
   seen_->headers = headers;
-  ++seen_->heads;
+  ++seen_->head_count;
 }
 
 TestDialect::TestDialect() {
@@ -121,11 +121,11 @@
   names_.fetch_from = "fetch";
   names_.tenant_key = "key";
   names_.tenant = "tenant";
-  names_.from_callers_removed = {"for-engine", "urgency", "stage", "source",
-                                 "fetch",      "key",     "tenant"};
+  names_.stripped_from_requests = {"for-engine", "urgency", "stage", "source",
+                                   "fetch",      "key",     "tenant"};
 }
 
-std::optional<relay::PromptShape> TestDialect::prompt(const HttpHeaders& headers) const {
+std::optional<relay::PromptShape> TestDialect::parse_prompt(const HttpHeaders& headers) const {
   if (headers.get("tokens").empty()) return std::nullopt;
   relay::PromptShape shape;
   shape.prompt_tokens = std::stoull(std::string(headers.get("tokens")));
@@ -133,8 +133,8 @@
   return shape;
 }
 
-relay::ReadNotice TestDialect::notice(int status, const HttpHeaders& headers) const {
-  relay::ReadNotice read;
+relay::ParsedNotice TestDialect::parse_notice(int status, const HttpHeaders& headers) const {
+  relay::ParsedNotice read;
   read.notice.leaving = headers.count("leaving") > 0;
   const std::string rest(headers.get("rest-seconds"));
   const std::string limit(headers.get("limit"));
@@ -144,35 +144,36 @@
   return read;
 }
 
-tl::expected<relay::PromptHandle, std::string> TestDialect::prefill_answer(
+tl::expected<relay::PromptHandle, std::string> TestDialect::parse_prefill_answer(
     const std::string& body) const {
   if (body.empty()) return tl::make_unexpected(std::string("empty"));
   return relay::PromptHandle{body, 0};
 }
 
-OutgoingRequest TestDialect::release_handle(const std::string& address,
-                                            const std::string& handle) const {
+OutgoingRequest TestDialect::release_handle_request(const std::string& address,
+                                                    const std::string& handle) const {
   OutgoingRequest call;
   call.method = "DELETE";
   call.url = "http://" + address + "/handle/" + handle;
   return call;
 }
 
-OutgoingRequest TestDialect::ask_report(const std::string& address, const std::string&) const {
+OutgoingRequest TestDialect::report_request(const std::string& address, const std::string&) const {
   OutgoingRequest call;
   call.url = "http://" + address + "/report";
   return call;
 }
 
-tl::expected<relay::EngineReport, std::string> TestDialect::report(const std::string& body) const {
+tl::expected<relay::EngineReport, std::string> TestDialect::parse_report(
+    const std::string& body) const {
   if (body != "decode" && body != "prefill") return tl::make_unexpected(std::string("unknown"));
   relay::EngineReport report;
   report.stage = body == "decode" ? relay::EngineStage::kDecode : relay::EngineStage::kPrefill;
-  report.orders_taken = 4;
+  report.orders_accepted = 4;
   return report;
 }
 
-OutgoingRequest TestDialect::stage_order(const relay::StageOrder& order) const {
+OutgoingRequest TestDialect::stage_order_request(const relay::StageOrder& order) const {
   OutgoingRequest call;
   call.method = "POST";
   call.url = "http://" + order.address + "/order";
@@ -260,7 +261,7 @@
 }
 
 void MemoryStore::wake() {
-  if (deaf) return;
+  if (drop_notifications) return;
   for (Waiting& waiting : waiting_) {
     const auto batch = changes_after(waiting.kind, waiting.revision, waiting.freshness);
     if (!*waiting.open || batch.changes.empty()) continue;
@@ -385,13 +386,13 @@
   return configuration;
 }
 
-void RelayFixture::start_anew() {
+void RelayFixture::restart() {
   node = std::make_unique<relay::RelayNode>(relay::RelayIo{runtime, http, dialect}, settings);
   node->adopt(configuration(1));
   node->set_engines({});
 }
 
-bool RelayFixture::sends_again() {
+bool RelayFixture::sends_retry() {
   for (const char* id : {"a", "b"}) add_engine(id, "plain");
   const std::size_t first = http.count();
   request("/safe/a");
@@ -403,7 +404,7 @@
   settings.node = "n1";
   settings.zone = ZoneName("z1");
   settings.retry_budget.slack = 80;
-  start_anew();
+  restart();
   node->set_fleet({7, 0});
   runtime.advance(relay::counted_for(settings.retry_budget));
 }
@@ -421,13 +422,14 @@
   node->set_engine(record);
 }
 
-HttpHeaders RelayFixture::sealed(const std::string& id) {
+HttpHeaders RelayFixture::sealed_headers(const std::string& id) {
   return {{"id", id}, {"seal", "s"}};
 }
 
-std::shared_ptr<SeenReply> RelayFixture::request(const std::string& path, const HttpHeaders& more,
-                                                 const std::string& method,
-                                                 const std::string& body) {
+std::shared_ptr<RecordedReply> RelayFixture::request(const std::string& path,
+                                                     const HttpHeaders& more,
+                                                     const std::string& method,
+                                                     const std::string& body) {
   HttpRequest request;
   request.method = method;
   request.target = path;
@@ -437,7 +439,7 @@
   for (const HttpHeader& field : more.fields()) request.headers.add(field.name, field.value);
   request.body = body;
   request.caller = caller_address;
-  auto seen = std::make_shared<SeenReply>();
+  auto seen = std::make_shared<RecordedReply>();
   caller = std::make_shared<RecordingResponder>(seen);
   node->handle(std::move(request), caller);
   return seen;
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -36,7 +36,7 @@
   void advance(Duration duration);
 
   /// Lets time pass without calling anything, as for a process that stands still.
-  void stand_still(Duration duration) { now_ += duration; }
+  void stall(Duration duration) { now_ += duration; }
 
  private:
   struct Entry {
@@ -84,19 +84,19 @@
 };
 
 /// What a caller has seen.
-struct SeenReply {
+struct RecordedReply {
   int status = 0;
   HttpHeaders headers;
   std::string body;
   bool finished = false;
   bool aborted = false;
-  int heads = 0;
+  int head_count = 0;
 };
 
 /// Records a reply. The caller can go away.
 class RecordingResponder : public ConnectionResponder {
  public:
-  explicit RecordingResponder(std::shared_ptr<SeenReply> seen) : seen_(std::move(seen)) {}
+  explicit RecordingResponder(std::shared_ptr<RecordedReply> seen) : seen_(std::move(seen)) {}
   void respond(HttpReply reply) override;
   void begin_stream(int status, const HttpHeaders& headers) override;
   void write(std::string_view piece) override { seen_->body += piece; }
@@ -106,13 +106,13 @@
   void on_closed(std::function<void()> handler) override { closed_ = std::move(handler); }
   void abort() override { seen_->aborted = true; }
 
-  void caller_leaves() {
+  void disconnect() {
     const auto handler = std::exchange(closed_, nullptr);
     if (handler) handler();
   }
 
  private:
-  std::shared_ptr<SeenReply> seen_;
+  std::shared_ptr<RecordedReply> seen_;
   std::function<void()> closed_;
 };
 
@@ -121,23 +121,26 @@
  public:
   TestDialect();
   const relay::HeaderNames& names() const override { return names_; }
-  std::optional<relay::PromptShape> prompt(const HttpHeaders& headers) const override;
-  std::optional<relay::ReportedLoad> load(const HttpHeaders&) const override { return {}; }
-  relay::ReadNotice notice(int status, const HttpHeaders& headers) const override;
-  bool refused(int, const HttpHeaders& headers) const override {
+  std::optional<relay::PromptShape> parse_prompt(const HttpHeaders& headers) const override;
+  std::optional<relay::ReportedLoad> parse_load(const HttpHeaders&) const override { return {}; }
+  relay::ParsedNotice parse_notice(int status, const HttpHeaders& headers) const override;
+  bool is_refusal(int, const HttpHeaders& headers) const override {
     return headers.count("refused") > 0;
   }
-  std::string prefill_stage() const override { return "read"; }
-  std::string prompt_source(const std::string& address, const std::string& handle) const override {
+  std::string prefill_stage_value() const override { return "read"; }
+  std::string prompt_source_value(const std::string& address,
+                                  const std::string& handle) const override {
     return address + "/" + handle;
   }
-  tl::expected<relay::PromptHandle, std::string> prefill_answer(
+  tl::expected<relay::PromptHandle, std::string> parse_prefill_answer(
       const std::string& body) const override;
-  OutgoingRequest release_handle(const std::string& address,
-                                 const std::string& handle) const override;
-  OutgoingRequest ask_report(const std::string& address, const std::string& engine) const override;
-  tl::expected<relay::EngineReport, std::string> report(const std::string& body) const override;
-  OutgoingRequest stage_order(const relay::StageOrder& order) const override;
+  OutgoingRequest release_handle_request(const std::string& address,
+                                         const std::string& handle) const override;
+  OutgoingRequest report_request(const std::string& address,
+                                 const std::string& engine) const override;
+  tl::expected<relay::EngineReport, std::string> parse_report(
+      const std::string& body) const override;
+  OutgoingRequest stage_order_request(const relay::StageOrder& order) const override;
 
  private:
   relay::HeaderNames names_;
@@ -171,9 +174,9 @@
   /// Drops the history: watches from before get `kHistoryGone`.
   void forget_history();
 
-  bool down = false;          ///< Calls fail with `kNotDone`.
-  bool lose_answers = false;  ///< Writes are done and not answered.
-  bool deaf = false;          ///< Watches under way do not hear of changes.
+  bool down = false;                ///< Calls fail with `kNotDone`.
+  bool lose_answers = false;        ///< Writes are done and not answered.
+  bool drop_notifications = false;  ///< Watches under way do not hear of changes.
   /// Answers that may lag know nothing newer than this revision.
   std::uint64_t replica_revision = std::numeric_limits<std::uint64_t>::max();
   /// What lists and watches are answered over; null: answers take no time.
@@ -255,22 +258,22 @@
   RelayFixture();
 
   /// Takes the place of the node with one that has just started and knows no other.
-  void start_anew();
+  void restart();
 
   /// @return whether a request whose first engine fails goes on at another.
-  bool sends_again();
+  bool sends_retry();
 
   /// Sends a request of a caller.
-  std::shared_ptr<SeenReply> request(const std::string& path, const HttpHeaders& more = {},
-                                     const std::string& method = "POST",
-                                     const std::string& body = "body");
+  std::shared_ptr<RecordedReply> request(const std::string& path, const HttpHeaders& more = {},
+                                         const std::string& method = "POST",
+                                         const std::string& body = "body");
 
   /// Registers an engine of a service.
   void add_engine(const std::string& id, const std::string& service,
                   relay::EngineStage stage = relay::EngineStage::kNone, bool draining = false);
 
   /// @return header fields of an answer by the engine to the request `id`.
-  static HttpHeaders sealed(const std::string& id = "r1");
+  static HttpHeaders sealed_headers(const std::string& id = "r1");
 
   static relay::RouteConfiguration configuration(std::uint64_t version);
 
--- a/tests/relay/support/limited_fleet.hpp
+++ b/tests/relay/support/limited_fleet.hpp
@@ -59,7 +59,7 @@
   ExchangingFleet fleet;
   LimitJudge judge;
   std::vector<std::string> broken;
-  std::vector<std::shared_ptr<SeenReply>> replies;
+  std::vector<std::shared_ptr<RecordedReply>> replies;
 
  private:
   struct Answer {
@@ -108,7 +108,7 @@
   }
 
   void answer(const Answer& due) {
-    HttpHeaders headers = RelayFixture::sealed();
+    HttpHeaders headers = RelayFixture::sealed_headers();
     const auto limit = this->limits.find(due.engine);
     if (limit != this->limits.end() && limit->second >= 0) {
       headers.add("limit", std::to_string(limit->second));
--- a/tests/relay/tenants_test.cpp
+++ b/tests/relay/tenants_test.cpp
@@ -112,6 +112,6 @@
   TenantSite site;
   const auto seen = site.request("/once/a", {{"key", "g-key"}});
   site.node->adopt(with_tenants(3, {tenant("post", {"p-1"})}));
-  site.http.answer(0, 200, RelayFixture::sealed(), "whole");
+  site.http.answer(0, 200, RelayFixture::sealed_headers(), "whole");
   cr_assert_eq(seen->status, 200);
 }
--- a/tests/store/kind_watch_test.cpp
+++ b/tests/store/kind_watch_test.cpp
@@ -36,9 +36,9 @@
     settings.wait = 30s;
     start();
     runtime.advance(1ms);
-    store.deaf = true;
+    store.drop_notifications = true;
     store.put("k", name, {});
-    store.deaf = false;
+    store.drop_notifications = false;
   }
   /// Starts with one object and a long wait on answers that may lag, which then stand still while
   /// the store changes.
