--- a/src/relay/engine_dialect.hpp
+++ b/src/relay/engine_dialect.hpp
@@ -45,7 +45,7 @@
   EngineStage stage = EngineStage::kNone;
   std::uint64_t orders_accepted = 0;
   bool order_in_progress = false;                ///< An order is under way.
-  bool leaving = false;                          ///< It will end, and wants no new request.
+  bool draining = false;                         ///< It will end, and wants no new request.
   std::optional<std::uint64_t> started_unix_ms;  ///< Of the start that tells; unset: not told.
 };
 
--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -7,13 +7,13 @@
 
 /// @return the place behind the blank line that ends the first event, or npos.
 std::size_t end_of_event(std::string_view text) {
-  const std::size_t plain = text.find("\n\n");
-  const std::size_t with_return = text.find("\n\r\n");
-  if (plain == std::string_view::npos && with_return == std::string_view::npos) return plain;
-  return plain < with_return ? plain + 2 : with_return + 3;
+  const std::size_t lf = text.find("\n\n");
+  const std::size_t crlf = text.find("\n\r\n");
+  if (lf == std::string_view::npos && crlf == std::string_view::npos) return lf;
+  return lf < crlf ? lf + 2 : crlf + 3;
 }
 
-std::string_view field(std::string_view event, std::string_view name) {
+std::string_view field_value(std::string_view event, std::string_view name) {
   while (!event.empty()) {
     const std::size_t end = std::min(event.find('\n'), event.size());
     std::string_view line = event.substr(0, end);
@@ -30,7 +30,7 @@
 RawEvent parse(std::string_view bytes) {
   RawEvent event;
   event.bytes = bytes;
-  event.id_text = field(bytes, "id:");
+  event.id_text = field_value(bytes, "id:");
   std::uint64_t id = 0;
   const char* end = event.id_text.data() + event.id_text.size();
   const auto parsed = std::from_chars(event.id_text.data(), end, id);
@@ -45,10 +45,10 @@
   partial_ += piece;
   std::size_t begin = 0;
   while (true) {
-    const std::string_view rest = std::string_view(partial_).substr(begin);
-    const std::size_t end = end_of_event(rest);
+    const std::string_view remaining = std::string_view(partial_).substr(begin);
+    const std::size_t end = end_of_event(remaining);
     if (end == std::string_view::npos) break;
-    handler(parse(rest.substr(0, end)));
+    handler(parse(remaining.substr(0, end)));
     begin += end;
   }
   partial_.erase(0, begin);
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -10,7 +10,7 @@
 namespace shuntbank::relay {
 namespace {
 
-constexpr std::uint64_t kMillisecondsASecond = 1000;
+constexpr std::uint64_t kMillisecondsPerSecond = 1000;
 
 void log_engine(const char* event, const EngineRecord& record) {
   log_event(LogArea::kControl, LogLevel::kInfo, event,
@@ -37,15 +37,15 @@
                metrics_,   budgets_, quarantine_, listener_, permits_,
                {},         {},       {},          {},        {}},
       splits_(random_fraction(io.runtime)),
-      slack_from_(io.runtime.now() + counted_for(settings.retry_budget)) {
+      slack_available_from_(io.runtime.now() + counted_for(settings.retry_budget)) {
   quarantine_.on_news([this] { context_.notify_load_changed(); });
   listener_.on_limit_news([this](const LimitNews& news) { context_.queue_limit_update(news); });
   listener_.on_trouble([this](const EngineTrouble& trouble) { context_.queue_trouble(trouble); });
 }
 
 RelayNode::~RelayNode() {
-  const auto open = std::exchange(sessions_, {});
-  for (const auto& session : open) session->abort();
+  const auto sessions = std::exchange(sessions_, {});
+  for (const auto& session : sessions) session->abort();
 }
 
 bool RelayNode::adopt(RouteConfiguration configuration) {
@@ -56,7 +56,7 @@
               {{"version", configuration.version}, {"findings", findings.to_text()}});
     return false;
   }
-  const std::uint64_t before = table_ ? table_->version() : 0;
+  const std::uint64_t previous_version = table_ ? table_->version() : 0;
   table_ = std::make_shared<const RouteTable>(std::move(configuration));
   if (!table_->doubts().empty()) {
     log_event(LogArea::kConfig, LogLevel::kWarning, "config_questionable",
@@ -64,10 +64,10 @@
   }
   log_event(LogArea::kConfig, LogLevel::kInfo, "config_adopted",
             {{"version", table_->version()},
-             {"before", before},
+             {"before", previous_version},
              {"routes", table_->configuration().routes.size()}});
   metrics_.set_gauge("config_version", static_cast<double>(table_->version()));
-  if (adopted_) adopted_(*table_);
+  if (adopted_handler_) adopted_handler_(*table_);
   return true;
 }
 
@@ -76,37 +76,37 @@
   std::set<EngineId> listed;
   for (const EngineRecord& record : records) listed.insert(engines_.start_named_by(record));
   for (const auto& [id, engine] : engines_.all()) {
-    if (listed.count(id) == 0) note_unlisted(id);
+    if (listed.count(id) == 0) report_unlisted(id);
   }
   for (const std::string& address : engines_.replace_all(records)) {
-    if (address_free_) address_free_(address);
+    if (address_released_handler_) address_released_handler_(address);
   }
   for (const EngineRecord& record : records) log_engine("engine_listed", record);
   metrics_.set_gauge("engines", static_cast<double>(engines_.size()));
 }
 
 /// Another start of an engine has the address or the name: the one before has ended.
-void RelayNode::note_replaced(const EngineRecord& record) {
-  const EngineView* before = engines_.find_named(record.own_name());
-  const bool moved = before != nullptr && before->record.address != record.address;
-  if (moved && address_free_) address_free_(before->record.address);
+void RelayNode::report_replaced(const EngineRecord& record) {
+  const EngineView* previous = engines_.find_named(record.own_name());
+  const bool moved = previous != nullptr && previous->record.address != record.address;
+  if (moved && address_released_handler_) address_released_handler_(previous->record.address);
   if (quarantine_.idle()) return;
   for (const auto& [id, engine] : engines_.all()) {
-    const bool same =
+    const bool replaced =
         engine.record.address == record.address || engine.record.own_name() == record.own_name();
-    if (id != record.id && same) quarantine_.on_engine_ended(id);
+    if (id != record.id && replaced) quarantine_.on_engine_ended(id);
   }
 }
 
 /// An engine that has not said that it leaves has ended when the list lacks it.
-void RelayNode::note_unlisted(const EngineId& engine) {
+void RelayNode::report_unlisted(const EngineId& engine) {
   const EngineView* view = engines_.find(engine);
   if (view != nullptr && !view->record.draining) quarantine_.on_engine_ended(engine);
 }
 
 void RelayNode::set_engine(const EngineRecord& record) {
   if (engines_.outdated(record)) return log_engine("engine_outdated", record);
-  note_replaced(record);
+  report_replaced(record);
   // It may have been missing from the list only since the store was away.
   if (engines_.find(record.id) == nullptr) {
     quarantine_.on_engine_answered(record.id, io_.runtime.now());
@@ -120,7 +120,7 @@
   const EngineView* known = engines_.find_named(name);
   if (known == nullptr) return;
   const EngineId id = known->record.id;
-  note_unlisted(id);
+  report_unlisted(id);
   forget_engine(id);
 }
 
@@ -135,7 +135,7 @@
   log_event(LogArea::kControl, LogLevel::kInfo, "engine_gone",
             {{"engine", id.value()}, {"address", address}});
   metrics_.set_gauge("engines", static_cast<double>(engines_.size()));
-  if (address_free_) address_free_(address);
+  if (address_released_handler_) address_released_handler_(address);
 }
 
 void RelayNode::on_peer_limit(const EngineId& engine, const ToldLimit& told) {
@@ -147,18 +147,18 @@
 }
 
 void RelayNode::set_fleet(const Fleet& fleet) {
-  const bool changed = !(fleet == fleet_) || nodes_assumed_ == 0;
+  const bool changed = !(fleet == fleet_) || assumed_nodes_ == 0;
   fleet_ = fleet;
   const auto nodes = static_cast<double>(fleet.nodes);
   // One more than known: one that was added, of which this node has not heard.
-  nodes_assumed_ = std::max(nodes_assumed_, nodes + 1);
+  assumed_nodes_ = std::max(assumed_nodes_, nodes + 1);
   settings_.expected_nodes = std::max(settings_.expected_nodes, nodes);
-  if (changed) share_slack();
-  if (fleet_changed_) fleet_changed_(fleet_);
+  if (changed) update_slack_share();
+  if (fleet_changed_handler_) fleet_changed_handler_(fleet_);
 }
 
-void RelayNode::share_slack() {
-  const SlackShare share{settings_.retry_budget.slack / nodes_assumed_, slack_from_};
+void RelayNode::update_slack_share() {
+  const SlackShare share{settings_.retry_budget.slack / assumed_nodes_, slack_available_from_};
   budgets_.set_slack_share(share);
   log_event(LogArea::kControl, LogLevel::kInfo, "fleet_known",
             {{"nodes", fleet_.nodes}, {"rank", fleet_.rank}, {"slack_share", share.dispatches}});
@@ -185,10 +185,11 @@
 /// A request with several keys has none: which of them speaks for it cannot be told.
 KeyVerdict RelayNode::admit(const Route& route, const HttpRequest& request) const {
   const std::string& field = io_.dialect.names().tenant_key;
-  const bool one = request.headers.count(field) == 1;
+  const bool single_key = request.headers.count(field) == 1;
   const auto unix_seconds =
-      static_cast<std::int64_t>(io_.runtime.unix_milliseconds() / kMillisecondsASecond);
-  return table_->admit(route, one ? request.headers.get(field) : std::string_view(), unix_seconds);
+      static_cast<std::int64_t>(io_.runtime.unix_milliseconds() / kMillisecondsPerSecond);
+  return table_->admit(route, single_key ? request.headers.get(field) : std::string_view(),
+                       unix_seconds);
 }
 
 void RelayNode::handle(HttpRequest request, const std::shared_ptr<ConnectionResponder>& responder) {
@@ -207,14 +208,15 @@
   }
   const ServiceName& service = splits_.choose(*route);
   // The end handler needs the session that it belongs to, which does not exist yet.
-  auto own = std::make_shared<std::weak_ptr<RelaySession>>();
-  auto session = std::make_shared<RelaySession>(context_, table_, *route, verdict.tenant, service,
-                                                std::move(request), responder, [this, own] {
-                                                  if (const auto ended = own->lock()) {
-                                                    sessions_.erase(ended);
-                                                  }
-                                                });
-  *own = session;
+  auto weak_session = std::make_shared<std::weak_ptr<RelaySession>>();
+  auto session =
+      std::make_shared<RelaySession>(context_, table_, *route, verdict.tenant, service,
+                                     std::move(request), responder, [this, weak_session] {
+                                       if (const auto ended_session = weak_session->lock()) {
+                                         sessions_.erase(ended_session);
+                                       }
+                                     });
+  *weak_session = session;
   sessions_.insert(session);
   session->start();
 }
@@ -228,16 +230,16 @@
 }
 
 void RelayNode::abort_all() {
-  const auto open = sessions_;
-  for (const auto& session : open) session->abort();
+  const auto sessions = sessions_;
+  for (const auto& session : sessions) session->abort();
 }
 
 void RelayNode::on_configuration_adopted(std::function<void(const RouteTable&)> handler) {
-  adopted_ = std::move(handler);
+  adopted_handler_ = std::move(handler);
 }
 
 void RelayNode::on_address_released(std::function<void(const std::string&)> handler) {
-  address_free_ = std::move(handler);
+  address_released_handler_ = std::move(handler);
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/relay_node.hpp
+++ b/src/relay/relay_node.hpp
@@ -129,7 +129,7 @@
 
   /// Sets what is called when the fleet has changed.
   void on_fleet_changed(std::function<void(const Fleet&)> handler) {
-    fleet_changed_ = std::move(handler);
+    fleet_changed_handler_ = std::move(handler);
   }
 
   /// Sets what is called when a configuration came into force.
@@ -139,10 +139,10 @@
   void on_address_released(std::function<void(const std::string&)> handler);
 
  private:
-  void share_slack();
+  void update_slack_share();
   KeyVerdict admit(const Route& route, const HttpRequest& request) const;
-  void note_replaced(const EngineRecord& record);
-  void note_unlisted(const EngineId& engine);
+  void report_replaced(const EngineRecord& record);
+  void report_unlisted(const EngineId& engine);
   void forget_engine(const EngineId& id);
   void refuse(const HttpRequest& request, ConnectionResponder& responder, int status,
               const char* why);
@@ -159,16 +159,16 @@
   std::shared_ptr<const RouteTable> table_;
   SplitChooser splits_;
   Fleet fleet_;
-  double nodes_assumed_ = 0;  ///< That share the slack of the retry budgets; 0: not known yet.
+  double assumed_nodes_ = 0;  ///< That share the slack of the retry budgets; 0: not known yet.
   /// This process spends no slack before: until then a window may hold what an earlier life of it
   /// spent, and the list of nodes may still lack some.
-  MonotonicTime slack_from_{};
+  MonotonicTime slack_available_from_{};
   bool engines_known_ = false;
   bool stopping_ = false;
   std::unordered_set<std::shared_ptr<RelaySession>> sessions_;
-  std::function<void(const Fleet&)> fleet_changed_;
-  std::function<void(const RouteTable&)> adopted_;
-  std::function<void(const std::string&)> address_free_;
+  std::function<void(const Fleet&)> fleet_changed_handler_;
+  std::function<void(const RouteTable&)> adopted_handler_;
+  std::function<void(const std::string&)> address_released_handler_;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 /// Between two looks at whether a stopping process has become idle.
-constexpr Duration kStopTick = std::chrono::milliseconds(100);
+constexpr Duration kStopCheckInterval = std::chrono::milliseconds(100);
 
 /// Left of the grace for giving up what is under way.
 constexpr Duration kStopMargin = std::chrono::milliseconds(600);
@@ -39,7 +39,7 @@
 }
 
 /// Between two looks at who reads the store. A reader that is silent is noticed that much later.
-constexpr Duration kReadersTick = std::chrono::milliseconds(250);
+constexpr Duration kReadersCheckInterval = std::chrono::milliseconds(250);
 
 CatalogSettings catalog_settings(const RelaySettings& settings) {
   CatalogSettings catalog = settings.catalog;
@@ -47,8 +47,8 @@
   return catalog;
 }
 
-constexpr std::size_t kMaxCallers = 2000;
-constexpr std::size_t kMaxWatchers = 64;
+constexpr std::size_t kMaxCallerConnections = 2000;
+constexpr std::size_t kMaxAdminConnections = 64;
 
 }  // namespace
 
@@ -63,7 +63,7 @@
         http_(loop, {}),
         node_({runtime, http_, platform.dialect}, settings),
         callers_(
-            loop, listen_on(addresses.callers, kMaxCallers),
+            loop, listen_on(addresses.callers, kMaxCallerConnections),
             [this](HttpRequest request, const std::shared_ptr<ConnectionResponder>& responder) {
               node_.handle(std::move(request), responder);
             }),
@@ -79,14 +79,14 @@
       // Nobody will ever give hints.
       catalog_.set_readers({true, runtime.now()});
     } else {
-      exchange_load(loop, addresses.peers);
-      report_usage();
+      start_load_exchange(loop, addresses.peers);
+      start_usage_reporting();
     }
     node_.on_configuration_adopted(
         [this](const RouteTable& table) { apply_request_limits(table); });
     node_.on_address_released([this](const std::string& address) { http_.forget_peer(address); });
     for (const std::string& address : {addresses.ready, addresses.control, addresses.metrics}) {
-      if (!address.empty()) serve_state(loop, address, address == addresses.control);
+      if (!address.empty()) serve_admin(loop, address, address == addresses.control);
     }
     log_event(LogArea::kProcess, LogLevel::kInfo, "started",
               {{"node", settings.node},
@@ -103,13 +103,14 @@
   void stop(std::function<void()> on_stopped) {
     if (stopping_) return;
     stopping_ = true;
-    stopped_ = std::move(on_stopped);
-    stop_began_ = runtime_.now();
+    stopped_handler_ = std::move(on_stopped);
+    stop_started_at_ = runtime_.now();
     node_.begin_stop();
     lease_.stop();
     callers_.close_after_answers();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopping", {{"under_way", node_.in_flight()}});
-    stop_timer_ = std::make_unique<Periodic>(runtime_, kStopTick, [this] { stop_tick(); });
+    stop_timer_ =
+        std::make_unique<Periodic>(runtime_, kStopCheckInterval, [this] { check_stopped(); });
   }
 
  private:
@@ -119,7 +120,7 @@
                          limits.idle_timeout});
   }
 
-  void exchange_load(asio::io_context& loop, const std::string& address) {
+  void start_load_exchange(asio::io_context& loop, const std::string& address) {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint) throw std::invalid_argument(address + ": " + endpoint.error());
     peers_ = make_peer_transport(loop, *endpoint, kMaxCacheSnapshot);
@@ -138,11 +139,11 @@
           catalog_.configuration_call(),
           [this](ConfigurationMessage message) { catalog_.take_from_peer(std::move(message)); });
     });
-    readers_tick_ = std::make_unique<Periodic>(
-        runtime_, kReadersTick, [this] { catalog_.set_readers(exchange_->readers()); });
+    readers_timer_ = std::make_unique<Periodic>(
+        runtime_, kReadersCheckInterval, [this] { catalog_.set_readers(exchange_->readers()); });
   }
 
-  void report_usage() {
+  void start_usage_reporting() {
     if (duties_ == nullptr || settings_.usage.window == Duration::zero()) return;
     usage_ =
         std::make_unique<UsageExchange>(runtime_, *peers_, exchange_->peers(), exchange_->boot(),
@@ -154,12 +155,12 @@
                                         node_.metrics(), settings_.node, settings_.usage);
   }
 
-  void serve_state(asio::io_context& loop, const std::string& address, bool operators) {
+  void serve_admin(asio::io_context& loop, const std::string& address, bool is_control) {
     servers_.push_back(std::make_unique<Http1Server>(
-        loop, listen_on(address, kMaxWatchers),
-        [this, operators](const HttpRequest& request, const auto& responder) {
+        loop, listen_on(address, kMaxAdminConnections),
+        [this, is_control](const HttpRequest& request, const auto& responder) {
           if (request.path == kMetricsPath) return responder->respond(metrics());
-          if (operators && is_quarantine_path(request.path)) {
+          if (is_control && is_quarantine_path(request.path)) {
             return responder->respond(answer_quarantine(request, node_.quarantine()));
           }
           const bool ready = node_.ready();
@@ -177,7 +178,7 @@
     metrics.set_gauge("log_lines_left_out", static_cast<double>(log_lines_left_out()));
     metrics.set_gauge("configuration_age_seconds", to_seconds(catalog_.configuration_age()));
     metrics.set_gauge("engines_age_seconds", to_seconds(catalog_.engines_age()));
-    if (exchange_) show_exchange(metrics);
+    if (exchange_) set_exchange_gauges(metrics);
     if (usage_) metrics.set_gauge("usage_left_out", static_cast<double>(usage_->left_out()));
     HttpReply reply;
     reply.status = http_status::kOk;
@@ -186,7 +187,7 @@
     return reply;
   }
 
-  void show_exchange(RelayMetrics& metrics) const {
+  void set_exchange_gauges(RelayMetrics& metrics) const {
     const ZoneExchange& zones = exchange_->zones();
     metrics.set_gauge("nodes_known", static_cast<double>(exchange_->nodes()));
     metrics.set_gauge("fleet_view_nodes", static_cast<double>(zones.nodes_seen()));
@@ -194,23 +195,23 @@
     metrics.set_gauge("collecting", zones.collecting() ? 1 : 0);
   }
 
-  void stop_tick() {
-    const Duration elapsed = runtime_.now() - stop_began_;
-    const Duration last = settings_.stop_grace - kStopMargin;
-    if (!drained_ && elapsed >= std::min(settings_.stop_listening_after, last)) {
+  void check_stopped() {
+    const Duration elapsed = runtime_.now() - stop_started_at_;
+    const Duration give_up_after = settings_.stop_grace - kStopMargin;
+    if (!drained_ && elapsed >= std::min(settings_.stop_listening_after, give_up_after)) {
       drained_ = true;
       callers_.drain();
     }
-    if (elapsed >= last) node_.abort_all();
+    if (elapsed >= give_up_after) node_.abort_all();
     const bool idle = drained_ && callers_.stats().open_connections == 0;
-    if (!idle && elapsed < last) return;
-    const auto stopped = std::exchange(stopped_, nullptr);
-    if (!stopped) return;
+    if (!idle && elapsed < give_up_after) return;
+    const auto handler = std::exchange(stopped_handler_, nullptr);
+    if (!handler) return;
     if (usage_) usage_->tell_last();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopped",
               {{"under_way", node_.in_flight()}, {"after_s", to_seconds(elapsed)}});
     // The last answers are still on their way to the kernel.
-    call_after(runtime_, kStopTick, stopped);
+    call_after(runtime_, kStopCheckInterval, handler);
   }
 
   Runtime& runtime_;
@@ -226,15 +227,15 @@
   RoleCoordinator roles_;
   std::unique_ptr<PeerTransport> peers_;
   std::unique_ptr<LoadExchange> exchange_;
-  std::unique_ptr<Periodic> readers_tick_;
+  std::unique_ptr<Periodic> readers_timer_;
   std::unique_ptr<CapacityCoordinator> capacity_;
   std::unique_ptr<UsageExchange> usage_;
   std::unique_ptr<UsageReporter> usage_reporter_;
   std::vector<std::unique_ptr<Http1Server>> servers_;
   bool stopping_ = false;
   bool drained_ = false;
-  MonotonicTime stop_began_{};
-  std::function<void()> stopped_;
+  MonotonicTime stop_started_at_{};
+  std::function<void()> stopped_handler_;
   std::unique_ptr<Periodic> stop_timer_;
 };
 
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Time below which another engine cannot answer any more.
-constexpr Duration kLeastUsefulTime = std::chrono::milliseconds(20);
+constexpr Duration kMinUsefulTime = std::chrono::milliseconds(20);
 
 /// Range of the urgency that engines take.
 constexpr int kMostUrgent = 0;
@@ -19,7 +19,7 @@
 
 constexpr Duration kReleaseTimeout = std::chrono::seconds(1);
 
-std::optional<std::int64_t> whole_number(std::string_view text) {
+std::optional<std::int64_t> parse_integer(std::string_view text) {
   std::int64_t value = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
   if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) return std::nullopt;
@@ -45,9 +45,9 @@
 void RelaySession::start() {
   arrived_ = context_.runtime.now();
   responder_->on_closed([weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->caller_gone();
+    if (const auto self = weak.lock()) self->on_caller_closed();
   });
-  if (!read_fields() || held_back()) return;
+  if (!parse_request_headers() || reject_if_quarantined()) return;
   context_.budgets.of(service_name_).on_request(arrived_);
   timer_ = context_.runtime.after(expires_ - arrived_, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->on_timeout();
@@ -55,7 +55,7 @@
   dispatch();
 }
 
-bool RelaySession::read_fields() {
+bool RelaySession::parse_request_headers() {
   const HeaderNames& names = context_.dialect.names();
   const bool one_id = request_.headers.count(names.request_id) == 1;
   id_ = std::string(request_.headers.get(names.request_id));
@@ -65,7 +65,7 @@
     return false;
   }
   expires_ = arrived_ + route_.timeout;
-  const auto deadline = whole_number(request_.headers.get(names.deadline_ms));
+  const auto deadline = parse_integer(request_.headers.get(names.deadline_ms));
   if (deadline) {
     expires_ = std::min(expires_, arrived_ + Duration(std::chrono::milliseconds(*deadline)));
   }
@@ -74,8 +74,8 @@
   for (const std::string& name : names.stripped_from_requests) request_.headers.remove(name);
   request_.headers = without_hop_fields(std::move(request_.headers));
   request_.headers.remove(names.deadline_ms);
-  const auto resumed = whole_number(request_.headers.get(names.last_event_id));
-  if (resumed && *resumed >= 0) stream_.resume_after(static_cast<std::uint64_t>(*resumed));
+  const auto resumed = parse_integer(request_.headers.get(names.last_event_id));
+  if (resumed && *resumed >= 0) progress_.resume_after(static_cast<std::uint64_t>(*resumed));
   return true;
 }
 
@@ -85,8 +85,8 @@
 
 std::uint32_t RelaySession::connections_per_engine() const {
   if (service_ == nullptr || service_->max_connections == 0) return 0;
-  const double part = service_->max_connections / context_.settings.expected_nodes;
-  return std::max(1U, static_cast<std::uint32_t>(part));
+  const double share = service_->max_connections / context_.settings.expected_nodes;
+  return std::max(1U, static_cast<std::uint32_t>(share));
 }
 
 PlacementQuery RelaySession::placement_query() const {
@@ -95,40 +95,40 @@
   query.prompt = prompt_ ? &*prompt_ : nullptr;
   query.zone = context_.settings.zone;
   query.engines_may_keep_more = !context_.settings.first_start;
-  query.avoid = &met_;
+  query.avoid = &failed_engines_;
   query.max_connections_here = connections_per_engine();
-  query.apart_from = apart_from_.empty() ? nullptr : &apart_from_;
-  query.may_end_engine = runs_apart();
+  query.apart_from = crash_risk_engines_.empty() ? nullptr : &crash_risk_engines_;
+  query.may_end_engine = needs_isolation();
   const Duration to_objective = arrived_ + route_.objective - context_.runtime.now();
   query.most_expected_ms = to_ms(std::min(to_objective, time_left()));
   return query;
 }
 
 /// @return the engine that takes a prompt up which was read elsewhere.
-std::optional<Placement> RelaySession::place_taker() {
-  keep_apart();
+std::optional<Placement> RelaySession::place_decode() {
+  update_crash_risk_engines();
   PlacementQuery query = placement_query();
   query.stage = EngineStage::kDecode;
   return place(context_.runtime.now(), context_.engines, query, context_.settings.placement);
 }
 
 /// Sends the request where the choice says. @return false when no engine can be chosen.
-bool RelaySession::choose() {
+bool RelaySession::try_send() {
   if (service_ == nullptr) return false;
-  keep_apart();
-  auto choice = choice_now();
-  if (!choice && !apart_from_.empty() && !runs_apart()) {
-    apart_from_.clear();
-    choice = choice_now();
+  update_crash_risk_engines();
+  auto plan = current_plan();
+  if (!plan && !crash_risk_engines_.empty() && !needs_isolation()) {
+    crash_risk_engines_.clear();
+    plan = current_plan();
   }
-  if (!choice) return false;
-  deferred_ = choice->deferred;
-  expected_ms_ = choice->expected_ms;
-  take(choice->placement);
-  if (choice->read_first) {
-    read_first(*choice);
+  if (!plan) return false;
+  deferred_ = plan->deferred;
+  expected_first_token_ms_ = plan->expected_ms;
+  use_placement(plan->placement);
+  if (plan->read_first) {
+    start_remote_prefill(*plan);
   } else {
-    send_permitted(choice->placement.engine, Step::kPlain);
+    send_with_permit(plan->placement.engine, Step::kPlain);
   }
   return true;
 }
@@ -145,14 +145,14 @@
   return query;
 }
 
-std::optional<DispatchChoice> RelaySession::choice_now() {
+std::optional<DispatchChoice> RelaySession::current_plan() {
   return choose_dispatch(context_.runtime.now(), context_.engines, dispatch_query(),
                          context_.settings.placement, context_.settings.prefill);
 }
 
-void RelaySession::take(const Placement& placement) {
-  chosen_ = placement;
-  unread_ = placement.unread_tokens;
+void RelaySession::use_placement(const Placement& placement) {
+  placement_ = placement;
+  prefill_tokens_ = placement.unread_tokens;
   fetch_address_.clear();
   const EngineView* source =
       placement.fetch_from ? context_.engines.find(*placement.fetch_from) : nullptr;
@@ -160,16 +160,16 @@
 }
 
 void RelaySession::dispatch() {
-  give_back(taker_permit_);
-  if (time_left() < kLeastUsefulTime) return on_timeout();
-  if (choose() || waits_for_return()) return;
+  release_permit(decode_permit_);
+  if (time_left() < kMinUsefulTime) return on_timeout();
+  if (try_send() || wait_for_cooldown()) return;
   if (failure_answer_ || history_.head_forwarded || !may_promise_not_run(history_)) {
     return fail(http_status::kBadGateway, "no other engine");
   }
   refuse("no engine");
 }
 
-OutgoingRequest RelaySession::outgoing(const EngineRecord& record, Step step) const {
+OutgoingRequest RelaySession::build_outgoing(const EngineRecord& record, Step step) const {
   const HeaderNames& names = context_.dialect.names();
   OutgoingRequest outgoing;
   outgoing.method = request_.method;
@@ -186,13 +186,13 @@
     outgoing.headers.add(names.stage, context_.dialect.prefill_stage_value());
   }
   if (step == Step::kDecodeFromHandle) {
-    outgoing.headers.add(names.prompt_source,
-                         context_.dialect.prompt_source_value(handle_address_, handle_));
+    outgoing.headers.add(names.prompt_source, context_.dialect.prompt_source_value(
+                                                  prompt_handle_address_, prompt_handle_));
   }
   if (!fetch_address_.empty()) outgoing.headers.add(names.fetch_from, fetch_address_);
-  if (!stream_.last_id_text().empty()) {
+  if (!progress_.last_id_text().empty()) {
     outgoing.headers.remove(names.last_event_id);
-    outgoing.headers.add(names.last_event_id, stream_.last_id_text());
+    outgoing.headers.add(names.last_event_id, progress_.last_id_text());
   }
   outgoing.body = request_.body;
   outgoing.connect_timeout = std::min(context_.settings.connect_timeout, time_left());
@@ -204,7 +204,7 @@
   };
   outgoing.belongs = [weak = weak_from_this()](int, const HttpHeaders& headers) {
     const auto self = weak.lock();
-    return !self || self->belongs(headers);
+    return !self || self->is_own_answer(headers);
   };
   return outgoing;
 }
@@ -215,9 +215,9 @@
 
 /// Requests that cannot be in time any more hold up none that can.
 int RelaySession::urgency() const {
-  const int own =
+  const int priority =
       tenant_ == nullptr ? route_.priority : tenant_->priority.value_or(route_.priority);
-  return deferred_ ? kLeastUrgent : std::clamp(own, kMostUrgent, kLeastUrgent - 1);
+  return deferred_ ? kLeastUrgent : std::clamp(priority, kMostUrgent, kLeastUrgent - 1);
 }
 
 void RelaySession::send(const EngineId& engine, Step step) {
@@ -228,25 +228,25 @@
   headers_ = HttpHeaders();
   refused_ = false;
   streaming_ = false;
-  collected_.clear();
+  body_.clear();
   overflow_ = false;
-  broken_ = false;
+  answer_invalid_ = false;
   splitter_.clear();
-  unread_released_ = false;
-  engine_held_ = true;
+  prefill_tokens_released_ = false;
+  attempt_counted_ = true;
   sent_at_ = context_.runtime.now();
-  heard_at_ = sent_at_;
-  if (crash_standing().suspect()) {
+  last_activity_at_ = sent_at_;
+  if (suspect_status().suspect()) {
     on_trial_ = true;
     context_.quarantine.begin_trial(identity_->request, engine);
   }
-  if (step == Step::kDecodeFromHandle) unread_ = 0;
+  if (step == Step::kDecodeFromHandle) prefill_tokens_ = 0;
   if (service_->model) context_.engines.set_memory(engine, service_->model->kv_tokens);
-  count_send(step == Step::kPrefill);
-  alone_when_sent_ = view->requests_there(sent_at_) < 0.5;
-  context_.engines.on_sent(engine, {unread_, deferred_});
+  record_send(step == Step::kPrefill);
+  idle_when_sent_ = view->requests_there(sent_at_) < 0.5;
+  context_.engines.on_sent(engine, {prefill_tokens_, deferred_});
   if (prompt_) context_.notify_load_changed();
-  if (step == Step::kPrefill) context_.engines.on_prompt_sent(unread_);
+  if (step == Step::kPrefill) context_.engines.on_prompt_sent(prefill_tokens_);
   context_.metrics.count_attempt(service_name_.value(),
                                  step == Step::kPrefill ? "prefill" : "answer");
   log_attempt("dispatched", "");
@@ -257,10 +257,10 @@
   };
   handlers.on_data = [self](std::string_view piece) { return self->on_data(piece); };
   handlers.on_done = [self](const auto& result) { self->on_done(result); };
-  transfer_ = context_.http.start(outgoing(view->record, step), std::move(handlers));
+  transfer_ = context_.http.start(build_outgoing(view->record, step), std::move(handlers));
 }
 
-bool RelaySession::may_send_again() const {
+bool RelaySession::within_budget() const {
   return !history_.arrived || budget_left() >= 1;
 }
 
@@ -268,55 +268,56 @@
   return context_.budgets.of(service_name_).available(context_.runtime.now());
 }
 
-void RelaySession::count_send(bool only_read) {
-  history_.prompt_sent = history_.prompt_sent || only_read;
-  extra_ = history_.arrived;
-  if (!extra_) return;
+void RelaySession::record_send(bool prefill_only) {
+  history_.prompt_sent = history_.prompt_sent || prefill_only;
+  charged_to_budget_ = history_.arrived;
+  if (!charged_to_budget_) return;
   context_.budgets.of(service_name_).charge(context_.runtime.now());
   context_.metrics.count_extra_send(service_name_.value());
 }
 
-void RelaySession::attempt_failed(AttemptOutcome outcome, const std::string& why) {
+void RelaySession::on_attempt_failed(AttemptOutcome outcome, const std::string& why) {
   context_.metrics.count_failure(service_name_.value(),
                                  outcome == AttemptOutcome::kNotSent   ? "not_sent"
                                  : outcome == AttemptOutcome::kRefused ? "refused"
                                                                        : "uncertain");
   log_attempt("attempt_failed", why);
-  const bool only_read = step_ == Step::kPrefill;
+  const bool prefill_only = step_ == Step::kPrefill;
   if (outcome != AttemptOutcome::kNotSent) {
     ++history_.sends;
     history_.arrived = true;
   }
   // A prompt that was only read has not run.
-  if (outcome == AttemptOutcome::kUncertain && !only_read) ++history_.may_have_run;
+  if (outcome == AttemptOutcome::kUncertain && !prefill_only) ++history_.may_have_run;
   // A refusal of a handle does not speak against the engine, which may still read the prompt
   // itself.
   if (step_ == Step::kDecodeFromHandle) {
-    handle_.clear();
-    if (outcome != AttemptOutcome::kRefused) met_.push_back(engine_);
+    prompt_handle_.clear();
+    if (outcome != AttemptOutcome::kRefused) failed_engines_.push_back(engine_);
   } else {
-    met_.push_back(engine_);
+    failed_engines_.push_back(engine_);
   }
-  if (ends_engines()) return end_unserved(why + ", as engines have before, which may have ended");
+  if (interruption_limit_reached())
+    return end_without_answer(why + ", as engines have before, which may have ended");
   const AttemptVerdict verdict = after_failure(route_, history_);
-  if (verdict != AttemptVerdict::kTryElsewhere) return end_unserved(why);
-  if (!may_send_again()) return end_for_budget(why);
+  if (verdict != AttemptVerdict::kTryElsewhere) return end_without_answer(why);
+  if (!within_budget()) return end_over_budget(why);
   dispatch();
 }
 
-void RelaySession::end_for_budget(const std::string& why) {
+void RelaySession::end_over_budget(const std::string& why) {
   context_.metrics.count_budget_exhausted(service_name_.value());
-  end_unserved(why + ", and the retry budget is spent");
+  end_without_answer(why + ", and the retry budget is spent");
 }
 
-void RelaySession::end_unserved(const std::string& why) {
+void RelaySession::end_without_answer(const std::string& why) {
   if (may_promise_not_run(history_) && !history_.head_forwarded) return refuse(why);
   fail(http_status::kBadGateway, why);
 }
 
 void RelaySession::refuse(const std::string& why) {
   HttpHeaders headers;
-  headers.add(context_.dialect.names().retry_after, retry_after_text(comes_back_after()));
+  headers.add(context_.dialect.names().retry_after, retry_after_text(caller_retry_delay()));
   log_attempt("refused", why);
   respond(http_status::kServiceUnavailable, headers, "", "refused");
 }
@@ -337,7 +338,7 @@
 void RelaySession::on_timeout() {
   if (ended_) return;
   const bool may_run = transfer_.has_value() && step_ != Step::kPrefill;
-  drop_transfer();
+  cancel_transfer();
   if (!may_run && may_promise_not_run(history_) && !history_.head_forwarded) {
     return refuse("out of time");
   }
@@ -348,15 +349,15 @@
   on_timeout();
 }
 
-void RelaySession::caller_gone() {
+void RelaySession::on_caller_closed() {
   if (ended_) return;
-  drop_transfer();
+  cancel_transfer();
   end("caller_gone");
 }
 
-void RelaySession::drop_transfer() {
+void RelaySession::cancel_transfer() {
   if (!transfer_) return;
-  note_silence();
+  report_unresponsive();
   context_.http.cancel(*transfer_);
   transfer_.reset();
   permit_.reset();  // It may have reached the engine.
@@ -364,20 +365,21 @@
 }
 
 void RelaySession::release_engine() {
-  if (!std::exchange(engine_held_, false)) return;
+  if (!std::exchange(attempt_counted_, false)) return;
   context_.engines.on_ended(engine_);
   if (std::exchange(on_trial_, false)) context_.quarantine.end_trial(identity_->request, engine_);
   if (prompt_) context_.notify_load_changed();
-  if (!unread_released_) context_.engines.on_read(engine_, {unread_, deferred_});
-  unread_released_ = true;
+  if (!prefill_tokens_released_) context_.engines.on_read(engine_, {prefill_tokens_, deferred_});
+  prefill_tokens_released_ = true;
 }
 
 void RelaySession::release_handle() {
-  if (handle_.empty()) return;
-  OutgoingRequest call = context_.dialect.release_handle_request(handle_address_, handle_);
+  if (prompt_handle_.empty()) return;
+  OutgoingRequest call =
+      context_.dialect.release_handle_request(prompt_handle_address_, prompt_handle_);
   call.total_timeout = kReleaseTimeout;
   context_.http.fetch(std::move(call), [](const auto&) {});
-  handle_.clear();
+  prompt_handle_.clear();
 }
 
 void RelaySession::respond(int status, const HttpHeaders& headers, std::string body,
@@ -393,9 +395,9 @@
 void RelaySession::end(const std::string& result) {
   if (std::exchange(ended_, true)) return;
   timer_.reset();
-  waiting_.reset();
-  give_back(taker_permit_);
-  give_back(permit_);
+  wait_timer_.reset();
+  release_permit(decode_permit_);
+  release_permit(permit_);
   release_engine();
   release_handle();
   if (identity_ && result != kAnswered) context_.quarantine.on_failed(identity_->request);
@@ -409,11 +411,11 @@
              {"tenant", std::string(tenant_name())},
              {"config", table_->version()},
              {"engine", engine_.value()},
-             {"events", stream_.event_count()},
+             {"events", progress_.event_count()},
              {"sends", history_.sends},
-             {"identity", crash_standing().suspect() ? to_text(identity_->request) : std::string()},
-             {"first_ms", whole_ms(stream_.first_event_delay(arrived_))},
-             {"gap_ms", whole_ms(stream_.longest_gap())},
+             {"identity", suspect_status().suspect() ? to_text(identity_->request) : std::string()},
+             {"first_ms", whole_ms(progress_.first_event_delay(arrived_))},
+             {"gap_ms", whole_ms(progress_.longest_gap())},
              {"took_ms", whole_ms(now - arrived_)}});
   const auto handler = std::exchange(on_end_, nullptr);
   if (handler) handler();
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -48,85 +48,85 @@
   enum class Step { kPlain, kPrefill, kDecodeFromHandle };
 
   // Setting out.
-  bool read_fields();
+  bool parse_request_headers();
   void dispatch();
   PlacementQuery placement_query() const;
-  std::optional<Placement> place_taker();
+  std::optional<Placement> place_decode();
   DispatchQuery dispatch_query() const;
-  std::optional<DispatchChoice> choice_now();
-  bool choose();
-  void read_first(const DispatchChoice& choice);
-  void send_permitted(const EngineId& engine, Step step);
-  void take(const Placement& placement);
+  std::optional<DispatchChoice> current_plan();
+  bool try_send();
+  void start_remote_prefill(const DispatchChoice& plan);
+  void send_with_permit(const EngineId& engine, Step step);
+  void use_placement(const Placement& placement);
   void send(const EngineId& engine, Step step);
-  OutgoingRequest outgoing(const EngineRecord& record, Step step) const;
+  OutgoingRequest build_outgoing(const EngineRecord& record, Step step) const;
   int urgency() const;
   std::string_view tenant_name() const;
   Duration time_left() const;
   std::uint32_t connections_per_engine() const;
 
   // The engine's answer.
-  bool belongs(const HttpHeaders& headers) const;
+  bool is_own_answer(const HttpHeaders& headers) const;
   void on_headers(int status, const HttpHeaders& headers);
   bool on_data(std::string_view piece);
   void on_event(const RawEvent& event);
   void on_done(const tl::expected<void, TransferError>& result);
-  void on_no_answer(const TransferError& error);
+  void on_transfer_failed(const TransferError& error);
   void on_prefill_answer();
-  void take_up_prompt();
+  void start_decode();
   void on_stream_end();
-  void on_whole_answer();
+  void on_complete_answer();
 
   // Engines that end under it.
-  CrashStanding crash_standing() const;
-  bool runs_apart() const;
-  bool ends_engines() const;
-  bool held_back();
-  void answer_held_back(const CrashStanding& standing);
+  CrashStanding suspect_status() const;
+  bool needs_isolation() const;
+  bool interruption_limit_reached() const;
+  bool reject_if_quarantined();
+  void answer_quarantined(const CrashStanding& status);
   /// @return why it is not sent now, or null.
-  static const char* reason_to_wait(const CrashStanding& standing);
-  void keep_apart();
-  void note_broken();
-  void note_silence();
+  static const char* wait_reason(const CrashStanding& status);
+  void update_crash_risk_engines();
+  void report_interruption();
+  void report_unresponsive();
 
   // Engines that rest.
-  bool waits_for_return();
-  void on_return();
-  Duration comes_back_after() const;
+  bool wait_for_cooldown();
+  void on_cooldown_end();
+  Duration caller_retry_delay() const;
 
   // Engines that take so many a second.
-  void on_taker_permit(const EngineId& reader, std::optional<SendPermit> permit);
+  void on_decode_permit(const EngineId& prefill_engine, std::optional<SendPermit> permit);
   void on_permit(const EngineId& engine, Step step, std::optional<SendPermit> permit);
   void wait_for_permit();
   void use_permit();
-  bool take_up_as_planned();
-  void give_back(std::optional<SendPermit>& permit);
-  void set_out_again(const EngineId& engine);
+  bool start_planned_decode();
+  void release_permit(std::optional<SendPermit>& permit);
+  void redispatch(const EngineId& engine);
 
   // Failures.
-  void attempt_failed(AttemptOutcome outcome, const std::string& why);
-  void keep_failure_answer();
-  bool may_send_again() const;
+  void on_attempt_failed(AttemptOutcome outcome, const std::string& why);
+  void save_failure_answer();
+  bool within_budget() const;
   double budget_left() const;
-  void count_send(bool only_read);
-  void end_for_budget(const std::string& why);
-  void end_unserved(const std::string& why);
+  void record_send(bool prefill_only);
+  void end_over_budget(const std::string& why);
+  void end_without_answer(const std::string& why);
   void refuse(const std::string& why);
   void fail(int status, const std::string& why);
   void on_timeout();
-  void caller_gone();
+  void on_caller_closed();
 
   // Ends.
-  void drop_transfer();
+  void cancel_transfer();
   void release_engine();
   void release_handle();
   void respond(int status, const HttpHeaders& headers, std::string body, const std::string& result);
   HttpHeaders forwarded_answer_fields() const;
-  void learn_reading(bool alone);
-  void note_prompt_read();
-  void note_began();
+  void update_prefill_model(bool exclusive);
+  void report_prompt_read();
+  void report_started();
   AttemptHealth refusal_health() const;
-  void note_health(AttemptHealth health);
+  void report_health(AttemptHealth health);
   void begin_stream();
   void end(const std::string& result);
   void log_attempt(const char* event, const std::string& why) const;
@@ -149,49 +149,49 @@
   MonotonicTime arrived_{};
   MonotonicTime expires_{};
   std::unique_ptr<Timer> timer_;
-  std::unique_ptr<Timer> waiting_;  ///< Until an engine takes the request, or any again.
+  std::unique_ptr<Timer> wait_timer_;  ///< Until an engine takes the request, or any again.
 
   AttemptHistory history_;
-  std::vector<EngineId> met_;       ///< Engines that failed or refused this request.
-  std::set<EngineKey> apart_from_;  ///< Engines that other suspects have; see `Quarantine`.
-  bool on_trial_ = false;           ///< The engine may end under it, and others were told.
+  std::vector<EngineId> failed_engines_;    ///< Engines that failed or refused this request.
+  std::set<EngineKey> crash_risk_engines_;  ///< Engines that other suspects have; see `Quarantine`.
+  bool on_trial_ = false;                   ///< The engine may end under it, and others were told.
 
   std::optional<SendPermit> permit_;         ///< For the next send, or the one under way.
-  std::optional<SendPermit> taker_permit_;   ///< For taking up the prompt that is being read.
-  Placement taker_;                          ///< The engine which that permit is for.
-  std::map<EngineId, int> permits_refused_;  ///< How often none was to be had.
+  std::optional<SendPermit> decode_permit_;  ///< For taking up the prompt that is being read.
+  Placement decode_placement_;               ///< The engine which that permit is for.
+  std::map<EngineId, int> permit_refusals_;  ///< How often none was to be had.
 
   // The attempt under way.
   Step step_ = Step::kPlain;
   EngineId engine_;
-  std::uint64_t unread_ = 0;
-  bool deferred_ = false;   ///< Waits behind requests that can be in time.
-  double expected_ms_ = 0;  ///< Until the first token, when the engine was chosen.
-  bool unread_released_ = false;
-  bool engine_held_ = false;
-  bool extra_ = false;            ///< Was charged to the retry budget when it was sent.
-  bool alone_when_sent_ = false;  ///< The engine had no other work that this node knew of.
+  std::uint64_t prefill_tokens_ = 0;
+  bool deferred_ = false;               ///< Waits behind requests that can be in time.
+  double expected_first_token_ms_ = 0;  ///< Until the first token, when the engine was chosen.
+  bool prefill_tokens_released_ = false;
+  bool attempt_counted_ = false;
+  bool charged_to_budget_ = false;  ///< Was charged to the retry budget when it was sent.
+  bool idle_when_sent_ = false;     ///< The engine had no other work that this node knew of.
   std::optional<TransferId> transfer_;
   MonotonicTime sent_at_{};
-  MonotonicTime heard_at_{};  ///< The engine's last sign of life, or when it was sent.
+  MonotonicTime last_activity_at_{};  ///< The engine's last sign of life, or when it was sent.
   int status_ = 0;
   HttpHeaders headers_;
   bool refused_ = false;
   bool streaming_ = false;  ///< The answer of this attempt is passed on event by event.
-  std::string collected_;
+  std::string body_;
   bool overflow_ = false;
-  bool broken_ = false;
+  bool answer_invalid_ = false;
   EventSplitter splitter_;
 
   // Planned for the next sends.
-  Placement chosen_;            ///< The last choice of an engine, with what spoke for it.
-  std::string fetch_address_;   ///< Engine from which parts of the prompt are taken; may be empty.
-  std::string handle_;          ///< Of the prompt read ahead, not yet taken.
-  std::string handle_address_;  ///< Engine that holds it.
+  Placement placement_;        ///< The last choice of an engine, with what spoke for it.
+  std::string fetch_address_;  ///< Engine from which parts of the prompt are taken; may be empty.
+  std::string prompt_handle_;  ///< Of the prompt read ahead, not yet taken.
+  std::string prompt_handle_address_;  ///< Engine that holds it.
 
-  StreamProgress stream_;  ///< What the caller has of it.
+  StreamProgress progress_;  ///< What the caller has of it.
 
-  bool began_ = false;  ///< An engine has begun to run it.
+  bool started_ = false;  ///< An engine has begun to run it.
 
   std::optional<HttpReply> failure_answer_;  ///< An engine's own failure, kept while trying on.
   bool ended_ = false;
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /// Answers that are collected whole are bounded by this, in bytes.
-constexpr std::size_t kMaxWholeAnswer = 8UL << 20U;
+constexpr std::size_t kMaxBufferedAnswer = 8UL << 20U;
 
 /// Bytes that wait for a slow caller before its engine is held up.
-constexpr std::size_t kHighWater = 256UL << 10U;
+constexpr std::size_t kHighWatermark = 256UL << 10U;
 
 /// An engine with less of its slots in use has no reason to refuse.
-constexpr double kRoomShare = 0.5;
+constexpr double kSpareCapacityShare = 0.5;
 
 bool is_success(int status) {
   return status >= 200 && status < 300;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-bool RelaySession::belongs(const HttpHeaders& headers) const {
+bool RelaySession::is_own_answer(const HttpHeaders& headers) const {
   const std::string_view echoed = headers.get(context_.dialect.names().request_id);
   return echoed.empty() || echoed == id_;
 }
@@ -31,7 +31,7 @@
   status_ = status;
   headers_ = headers;
   const MonotonicTime now = context_.runtime.now();
-  heard_at_ = now;
+  last_activity_at_ = now;
   // The next start of an engine, at the same address, refuses what is meant for the one before:
   // that is no sign of life of that one.
   if (status != http_status::kMisdirected) context_.on_engine_answered(engine_, sent_at_);
@@ -41,26 +41,26 @@
   refused_ = context_.dialect.is_refusal(status, headers);
   const HeaderNames& names = context_.dialect.names();
   const bool echoed = headers.get(names.request_id) == id_;
-  if (!echoed && !refused_) broken_ = true;
+  if (!echoed && !refused_) answer_invalid_ = true;
   const bool sealed = !headers.get(names.seal).empty();
-  if (step_ != Step::kPrefill && is_success(status) && !sealed) broken_ = true;
+  if (step_ != Step::kPrefill && is_success(status) && !sealed) answer_invalid_ = true;
   // A misdirected request is answered by another engine; what does not echo the id is not trusted.
-  if (!broken_ && status != http_status::kMisdirected) {
+  if (!answer_invalid_ && status != http_status::kMisdirected) {
     context_.listener.on_head(engine_, status, headers, id_);
   }
   if (step_ == Step::kPrefill) return;
-  streaming_ = !broken_ && route_.kind == RouteKind::kStream && is_success(status);
-  if (!streaming_ && !refused_) note_began();
+  streaming_ = !answer_invalid_ && route_.kind == RouteKind::kStream && is_success(status);
+  if (!streaming_ && !refused_) report_started();
 }
 
 bool RelaySession::on_data(std::string_view piece) {
-  heard_at_ = context_.runtime.now();
+  last_activity_at_ = context_.runtime.now();
   if (!streaming_) {
-    overflow_ = overflow_ || collected_.size() + piece.size() > kMaxWholeAnswer;
-    if (!overflow_) collected_ += piece;
+    overflow_ = overflow_ || body_.size() + piece.size() > kMaxBufferedAnswer;
+    if (!overflow_) body_ += piece;
     return true;
   }
-  if (responder_->pending_bytes() > kHighWater) {
+  if (responder_->pending_bytes() > kHighWatermark) {
     responder_->on_drained([weak = weak_from_this()] {
       const auto self = weak.lock();
       if (self && self->transfer_) self->context_.http.resume(*self->transfer_);
@@ -68,30 +68,30 @@
     return false;
   }
   const bool usable = splitter_.feed(piece, [this](const RawEvent& event) { on_event(event); });
-  broken_ = broken_ || !usable;
+  answer_invalid_ = answer_invalid_ || !usable;
   return true;
 }
 
 /// Counted once, however many engines begin to run it.
-void RelaySession::note_began() {
-  if (tenant_ == nullptr || std::exchange(began_, true)) return;
+void RelaySession::report_started() {
+  if (tenant_ == nullptr || std::exchange(started_, true)) return;
   if (context_.request_started) context_.request_started(tenant_->name);
 }
 
 void RelaySession::on_event(const RawEvent& event) {
-  if (broken_ || ended_) return;
-  note_began();
-  if (!unread_released_) {
-    unread_released_ = true;
-    context_.engines.on_read(engine_, {unread_, deferred_});
-    if (prompt_) note_prompt_read();
+  if (answer_invalid_ || ended_) return;
+  report_started();
+  if (!prefill_tokens_released_) {
+    prefill_tokens_released_ = true;
+    context_.engines.on_read(engine_, {prefill_tokens_, deferred_});
+    if (prompt_) report_prompt_read();
     if (step_ == Step::kDecodeFromHandle) {
       context_.engines.model_of(service_name_)
           .on_handed_over(context_.runtime.now() - sent_at_, deferred_);
     }
   }
-  if (!stream_.in_order(event)) {
-    broken_ = true;
+  if (!progress_.in_order(event)) {
+    answer_invalid_ = true;
     return;
   }
   if (!history_.head_forwarded) {
@@ -99,13 +99,13 @@
     context_.metrics.observe_first_event(service_name_.value(), context_.runtime.now() - arrived_);
   }
   const MonotonicTime now = context_.runtime.now();
-  const auto pause = stream_.on_forwarded(now, event);
-  if (pause) context_.engines.on_event_gap(now, engine_, *pause);
+  const auto gap = progress_.on_forwarded(now, event);
+  if (gap) context_.engines.on_event_gap(now, engine_, *gap);
   responder_->write(event.bytes);
 }
 
 /// Parts that other requests share are told to the other nodes; the last one is this request's own.
-void RelaySession::note_prompt_read() {
+void RelaySession::report_prompt_read() {
   context_.on_prompt_read(engine_, prompt_->parts);
   // Without an exchange nobody would ever take them.
   if (prompt_->parts.size() < 2 || !context_.load_changed) return;
@@ -119,19 +119,20 @@
   return step_ == Step::kDecodeFromHandle ? AttemptHealth::kHandleRefused : AttemptHealth::kBusy;
 }
 
-void RelaySession::note_health(AttemptHealth health) {
+void RelaySession::report_health(AttemptHealth health) {
   context_.engines.on_health(context_.runtime.now(), engine_, health);
   const bool misdirected = health == AttemptHealth::kMisdirected;
   const EngineView* view = context_.engines.find(engine_);
   if (view == nullptr) return;
-  const double there = view->requests_there(context_.runtime.now());
-  const bool has_room = there < view->record.slots * kRoomShare;
+  const double load = view->requests_there(context_.runtime.now());
+  const bool has_capacity = load < view->record.slots * kSpareCapacityShare;
   // An engine that rests is sent nothing that could be refused in a row. Its wait is for this node;
   // for the others it is a sign of load, which they may override.
-  const bool rests = view->rests_until > context_.runtime.now();
-  const bool again = view->refusals_in_a_row > 1;
-  const bool refuses = health == AttemptHealth::kBusy && has_room && (rests || again);
-  if (!misdirected && !refuses && health != AttemptHealth::kUnreachable) return;
+  const bool in_cooldown = view->rests_until > context_.runtime.now();
+  const bool repeated = view->refusals_in_a_row > 1;
+  const bool refuses_with_capacity =
+      health == AttemptHealth::kBusy && has_capacity && (in_cooldown || repeated);
+  if (!misdirected && !refuses_with_capacity && health != AttemptHealth::kUnreachable) return;
   const TroubleKind kind = misdirected ? TroubleKind::kMisdirected : TroubleKind::kUnusable;
   context_.queue_trouble({engine_, view->record.stage, kind});
 }
@@ -152,107 +153,108 @@
   if (ended_) return;
   transfer_.reset();
   release_engine();
-  if (!result) return on_no_answer(result.error());
+  if (!result) return on_transfer_failed(result.error());
   permit_.reset();
   if (refused_) {
-    note_health(refusal_health());
-    return attempt_failed(AttemptOutcome::kRefused, "status " + std::to_string(status_));
+    report_health(refusal_health());
+    return on_attempt_failed(AttemptOutcome::kRefused, "status " + std::to_string(status_));
   }
-  if (broken_ || overflow_) {
-    note_health(AttemptHealth::kFailed);
-    return attempt_failed(AttemptOutcome::kUncertain, "the answer cannot be trusted");
+  if (answer_invalid_ || overflow_) {
+    report_health(AttemptHealth::kFailed);
+    return on_attempt_failed(AttemptOutcome::kUncertain, "the answer cannot be trusted");
   }
   if (step_ == Step::kPrefill) return on_prefill_answer();
   if (streaming_) return on_stream_end();
-  on_whole_answer();
+  on_complete_answer();
 }
 
-void RelaySession::on_no_answer(const TransferError& error) {
+void RelaySession::on_transfer_failed(const TransferError& error) {
   const bool withdrawn = error.failure == TransferFailure::kWithdrawn;
   const bool not_sent = error.failure == TransferFailure::kNothingSent;
-  if (withdrawn || not_sent) give_back(permit_);
+  if (withdrawn || not_sent) release_permit(permit_);
   permit_.reset();
   // It may have another turn there.
-  if (withdrawn && context_.permits.limited(engine_)) return set_out_again(engine_);
-  if (!withdrawn) note_health(not_sent ? AttemptHealth::kUnreachable : AttemptHealth::kFailed);
+  if (withdrawn && context_.permits.limited(engine_)) return redispatch(engine_);
+  if (!withdrawn) report_health(not_sent ? AttemptHealth::kUnreachable : AttemptHealth::kFailed);
   if (error.connection_refused) context_.on_engine_ended(engine_);
-  if (withdrawn || not_sent) return attempt_failed(AttemptOutcome::kNotSent, error.message);
-  note_broken();
-  attempt_failed(AttemptOutcome::kUncertain, error.message);
+  if (withdrawn || not_sent) return on_attempt_failed(AttemptOutcome::kNotSent, error.message);
+  report_interruption();
+  on_attempt_failed(AttemptOutcome::kUncertain, error.message);
 }
 
 void RelaySession::on_prefill_answer() {
-  const auto handle = context_.dialect.parse_prefill_answer(collected_);
+  const auto handle = context_.dialect.parse_prefill_answer(body_);
   if (!is_success(status_) || !handle) {
-    note_health(AttemptHealth::kFailed);
-    return attempt_failed(AttemptOutcome::kUncertain, "the prompt was not read");
+    report_health(AttemptHealth::kFailed);
+    return on_attempt_failed(AttemptOutcome::kUncertain, "the prompt was not read");
   }
-  note_health(AttemptHealth::kGood);
+  report_health(AttemptHealth::kGood);
   EngineView* view = context_.engines.find(engine_);
   if (view != nullptr) {
-    learn_reading(alone_when_sent_ && view->in_flight == 0 && !deferred_);
-    note_prompt_read();
-    handle_address_ = view->record.address;
-    handle_ = handle->handle;
+    update_prefill_model(idle_when_sent_ && view->in_flight == 0 && !deferred_);
+    report_prompt_read();
+    prompt_handle_address_ = view->record.address;
+    prompt_handle_ = handle->handle;
   }
-  if (!may_send_again()) return end_for_budget("the prompt was read");
-  take_up_prompt();
+  if (!within_budget()) return end_over_budget("the prompt was read");
+  start_decode();
 }
 
 /// Sends the request to an engine that goes on from what was read.
-void RelaySession::take_up_prompt() {
-  if (take_up_as_planned()) return;
-  const auto decode = place_taker();
+void RelaySession::start_decode() {
+  if (start_planned_decode()) return;
+  const auto decode = place_decode();
   if (!decode) return dispatch();
-  if (handle_.empty()) {
-    take(*decode);
-    return send_permitted(decode->engine, Step::kPlain);
+  if (prompt_handle_.empty()) {
+    use_placement(*decode);
+    return send_with_permit(decode->engine, Step::kPlain);
   }
-  chosen_ = *decode;
+  placement_ = *decode;
   fetch_address_.clear();
-  send_permitted(decode->engine, Step::kDecodeFromHandle);
+  send_with_permit(decode->engine, Step::kDecodeFromHandle);
 }
 
-void RelaySession::learn_reading(bool alone) {
+void RelaySession::update_prefill_model(bool exclusive) {
   EngineModel& model = context_.engines.model_of(service_name_);
   const Duration took = context_.runtime.now() - sent_at_;
-  if (fetch_address_.empty()) return model.on_prompt_read(unread_, took, alone);
-  if (!alone) return;
-  model.on_fetched(unread_, service_->model->move_ms(prompt_->prompt_tokens - unread_), took);
+  if (fetch_address_.empty()) return model.on_prompt_read(prefill_tokens_, took, exclusive);
+  if (!exclusive) return;
+  model.on_fetched(prefill_tokens_,
+                   service_->model->move_ms(prompt_->prompt_tokens - prefill_tokens_), took);
 }
 
 void RelaySession::on_stream_end() {
   if (splitter_.has_partial()) {
-    note_health(AttemptHealth::kFailed);
-    return attempt_failed(AttemptOutcome::kUncertain, "the stream ended inside an event");
+    report_health(AttemptHealth::kFailed);
+    return on_attempt_failed(AttemptOutcome::kUncertain, "the stream ended inside an event");
   }
-  note_health(AttemptHealth::kGood);
-  if (const auto pause = stream_.mean_gap()) {
-    context_.engines.model_of(service_name_).on_stream_pace(*pause);
+  report_health(AttemptHealth::kGood);
+  if (const auto gap = progress_.mean_gap()) {
+    context_.engines.model_of(service_name_).on_stream_pace(*gap);
   }
   if (identity_) context_.quarantine.on_answered(identity_->request);
-  handle_.clear();
+  prompt_handle_.clear();
   if (!history_.head_forwarded) begin_stream();
   responder_->finish();
   end(kAnswered);
 }
 
-void RelaySession::on_whole_answer() {
+void RelaySession::on_complete_answer() {
   const MonotonicTime now = context_.runtime.now();
-  const bool own_failure = status_ >= http_status::kInternalError;
-  note_health(own_failure ? AttemptHealth::kFailed : AttemptHealth::kGood);
+  const bool engine_failure = status_ >= http_status::kInternalError;
+  report_health(engine_failure ? AttemptHealth::kFailed : AttemptHealth::kGood);
   context_.engines.on_latency(engine_, now - sent_at_);
   if (identity_) context_.quarantine.on_answered(identity_->request);
-  if (own_failure && (route_.idempotent() || history_.head_forwarded)) {
-    keep_failure_answer();
-    return attempt_failed(AttemptOutcome::kUncertain, "status " + std::to_string(status_));
+  if (engine_failure && (route_.idempotent() || history_.head_forwarded)) {
+    save_failure_answer();
+    return on_attempt_failed(AttemptOutcome::kUncertain, "status " + std::to_string(status_));
   }
-  respond(status_, forwarded_answer_fields(), std::move(collected_), kAnswered);
+  respond(status_, forwarded_answer_fields(), std::move(body_), kAnswered);
 }
 
-void RelaySession::keep_failure_answer() {
+void RelaySession::save_failure_answer() {
   if (history_.head_forwarded) return;
-  failure_answer_ = HttpReply{status_, forwarded_answer_fields(), std::move(collected_)};
+  failure_answer_ = HttpReply{status_, forwarded_answer_fields(), std::move(body_)};
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/relay_session_permit.cpp
+++ b/src/relay/relay_session_permit.cpp
@@ -9,50 +9,54 @@
 
 /// What this node knows of an engine's next permit may be late by so much before another choice is
 /// made: about the time between two permits of an engine that is worth waiting for.
-constexpr Duration kMoreThanKnown = std::chrono::milliseconds(50);
+constexpr Duration kExtraPermitWait = std::chrono::milliseconds(50);
 
 /// An engine that refuses a permit so often is given up for this request; its schedule fills faster
 /// than this node learns of it.
-constexpr int kMostRefusals = 3;
+constexpr int kMaxPermitRefusals = 3;
 
-constexpr double kMillisecondsASecond = 1000;
+constexpr double kMillisecondsPerSecond = 1000;
 
 }  // namespace
 
 /// A taker that is limited is asked before the prompt is read: where it permits nothing in time,
 /// the prompt would be read for nothing. The permit is good for as long before the expected end of
 /// the reading as after it.
-void RelaySession::read_first(const DispatchChoice& choice) {
-  const EngineId& reader = choice.placement.engine;
-  if (!context_.permits.limited(choice.taker.engine)) return send_permitted(reader, Step::kPrefill);
-  taker_ = choice.taker;
-  const EngineView* view = context_.engines.find(taker_.engine);
-  const Duration read_in = from_seconds(choice.placement.expected_ms / kMillisecondsASecond);
-  const Duration earliest = std::max(Duration::zero(), read_in - kPermitLife / 2);
-  const Duration known = view->permit_wait(context_.runtime.now());
-  const Duration beyond = std::max(Duration::zero(), known - earliest);
-  context_.permits.ask(taker_.engine, {earliest, beyond + kMoreThanKnown},
-                       [self = shared_from_this(), reader](std::optional<SendPermit> permit) {
-                         self->on_taker_permit(reader, std::move(permit));
-                       });
+void RelaySession::start_remote_prefill(const DispatchChoice& plan) {
+  const EngineId& prefill_engine = plan.placement.engine;
+  if (!context_.permits.limited(plan.taker.engine))
+    return send_with_permit(prefill_engine, Step::kPrefill);
+  decode_placement_ = plan.taker;
+  const EngineView* view = context_.engines.find(decode_placement_.engine);
+  const Duration prefill_duration =
+      from_seconds(plan.placement.expected_ms / kMillisecondsPerSecond);
+  const Duration earliest = std::max(Duration::zero(), prefill_duration - kPermitLife / 2);
+  const Duration known_wait = view->permit_wait(context_.runtime.now());
+  const Duration extra_wait = std::max(Duration::zero(), known_wait - earliest);
+  context_.permits.ask(
+      decode_placement_.engine, {earliest, extra_wait + kExtraPermitWait},
+      [self = shared_from_this(), prefill_engine](std::optional<SendPermit> permit) {
+        self->on_decode_permit(prefill_engine, std::move(permit));
+      });
 }
 
-void RelaySession::on_taker_permit(const EngineId& reader, std::optional<SendPermit> permit) {
-  taker_permit_ = std::move(permit);
-  if (ended_) return give_back(taker_permit_);
-  if (!taker_permit_) return set_out_again(taker_.engine);
+void RelaySession::on_decode_permit(const EngineId& prefill_engine,
+                                    std::optional<SendPermit> permit) {
+  decode_permit_ = std::move(permit);
+  if (ended_) return release_permit(decode_permit_);
+  if (!decode_permit_) return redispatch(decode_placement_.engine);
   // The answer may have come late, and the reader be gone.
-  if (context_.engines.find(reader) == nullptr) return dispatch();
-  send_permitted(reader, Step::kPrefill);
+  if (context_.engines.find(prefill_engine) == nullptr) return dispatch();
+  send_with_permit(prefill_engine, Step::kPrefill);
 }
 
 /// A prompt read apart, whoever takes it up, a retry and a plain request all come through here.
-void RelaySession::send_permitted(const EngineId& engine, Step step) {
-  give_back(permit_);
+void RelaySession::send_with_permit(const EngineId& engine, Step step) {
+  release_permit(permit_);
   if (!context_.permits.limited(engine)) return send(engine, step);
   const EngineView* view = context_.engines.find(engine);
-  const Duration known = view->permit_wait(context_.runtime.now());
-  context_.permits.ask(engine, {Duration::zero(), known + kMoreThanKnown},
+  const Duration known_wait = view->permit_wait(context_.runtime.now());
+  context_.permits.ask(engine, {Duration::zero(), known_wait + kExtraPermitWait},
                        [self = shared_from_this(), engine, step](std::optional<SendPermit> permit) {
                          self->on_permit(engine, step, std::move(permit));
                        });
@@ -60,10 +64,10 @@
 
 void RelaySession::on_permit(const EngineId& engine, Step step, std::optional<SendPermit> permit) {
   permit_ = std::move(permit);
-  if (ended_) return give_back(permit_);
+  if (ended_) return release_permit(permit_);
   step_ = step;
   engine_ = engine;
-  if (!permit_) return set_out_again(engine);
+  if (!permit_) return redispatch(engine);
   wait_for_permit();
 }
 
@@ -71,7 +75,7 @@
   const MonotonicTime now = context_.runtime.now();
   if (permit_->from <= now) return use_permit();
   log_attempt("waits_for_permit", std::to_string(whole_ms(permit_->from - now)) + " ms");
-  waiting_ = context_.runtime.after(permit_->from - now, [weak = weak_from_this()] {
+  wait_timer_ = context_.runtime.after(permit_->from - now, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->use_permit();
   });
 }
@@ -81,44 +85,45 @@
   if (ended_) return;
   const EngineView* view = context_.engines.find(engine_);
   const MonotonicTime now = context_.runtime.now();
-  const bool taken = view != nullptr && view->takes_requests(now);
-  if (!taken || !context_.permits.may_send(engine_, permit_)) {
-    give_back(permit_);
-    return set_out_again(engine_);
+  const bool accepts = view != nullptr && view->takes_requests(now);
+  if (!accepts || !context_.permits.may_send(engine_, permit_)) {
+    release_permit(permit_);
+    return redispatch(engine_);
   }
-  if (!may_send_again()) return end_for_budget("an engine takes it");
+  if (!within_budget()) return end_over_budget("an engine takes it");
   send(engine_, step_);
 }
 
 /// @return whether the engine that was asked before the prompt was read takes it up.
-bool RelaySession::take_up_as_planned() {
-  if (!taker_permit_) return false;
-  permit_ = std::exchange(taker_permit_, std::nullopt);
-  const bool usable = !handle_.empty() && !listed(&met_, taker_.engine) &&
-                      context_.permits.may_send(taker_.engine, permit_);
+bool RelaySession::start_planned_decode() {
+  if (!decode_permit_) return false;
+  permit_ = std::exchange(decode_permit_, std::nullopt);
+  const bool usable = !prompt_handle_.empty() &&
+                      !listed(&failed_engines_, decode_placement_.engine) &&
+                      context_.permits.may_send(decode_placement_.engine, permit_);
   if (!usable) {
-    give_back(permit_);
+    release_permit(permit_);
     return false;
   }
-  chosen_ = taker_;
+  placement_ = decode_placement_;
   fetch_address_.clear();
-  engine_ = taker_.engine;
+  engine_ = decode_placement_.engine;
   step_ = Step::kDecodeFromHandle;
   wait_for_permit();
   return true;
 }
 
-void RelaySession::give_back(std::optional<SendPermit>& permit) {
+void RelaySession::release_permit(std::optional<SendPermit>& permit) {
   if (!permit) return;
   context_.permits.give_back(*std::exchange(permit, std::nullopt));
 }
 
 /// The engine takes requests only later than was known: perhaps another one is better now.
-void RelaySession::set_out_again(const EngineId& engine) {
+void RelaySession::redispatch(const EngineId& engine) {
   engine_ = engine;
   log_attempt("no_permit", "");
-  if (++permits_refused_[engine] >= kMostRefusals) met_.push_back(engine);
-  if (!handle_.empty()) return take_up_prompt();
+  if (++permit_refusals_[engine] >= kMaxPermitRefusals) failed_engines_.push_back(engine);
+  if (!prompt_handle_.empty()) return start_decode();
   dispatch();
 }
 
--- a/src/relay/role_coordinator.cpp
+++ b/src/relay/role_coordinator.cpp
@@ -60,7 +60,7 @@
   if (started != record.started_unix_ms) return;
   EngineListener& listener = node_.listener();
   listener.on_head(record.id, reply.status, reply.headers);
-  if (report->leaving) listener.on_leaving(record.id);
+  if (report->draining) listener.on_leaving(record.id);
   if (node_.engines().notices().leaving(record.id)) return;
   if (report->order_in_progress || report->stage == stage) return;
   order(record, stage, *report);
--- a/src/relay/stream_progress.cpp
+++ b/src/relay/stream_progress.cpp
@@ -12,16 +12,16 @@
 std::optional<Duration> StreamProgress::on_forwarded(MonotonicTime now, const RawEvent& event) {
   if (event.id) {
     this->last_id = event.id;
-    this->last_text = std::string(event.id_text);
+    this->last_id_string = std::string(event.id_text);
   }
-  const MonotonicTime before = std::exchange(this->last_at, now);
+  const MonotonicTime previous_at = std::exchange(this->last_at, now);
   if (++this->count == 1) {
     this->first_at = now;
     return std::nullopt;
   }
-  const Duration pause = now - before;
-  this->longest = std::max(this->longest, pause);
-  return pause;
+  const Duration gap = now - previous_at;
+  this->max_gap = std::max(this->max_gap, gap);
+  return gap;
 }
 
 Duration StreamProgress::first_event_delay(MonotonicTime since) const {
--- a/src/relay/stream_progress.hpp
+++ b/src/relay/stream_progress.hpp
@@ -27,24 +27,24 @@
   std::uint64_t event_count() const { return this->count; }
 
   /// @return the id of the last event as it was written; empty while none with an id has passed.
-  const std::string& last_id_text() const { return this->last_text; }
+  const std::string& last_id_text() const { return this->last_id_string; }
 
   /// @return the time between `since` and the first event; zero while there is none.
   Duration first_event_delay(MonotonicTime since) const;
 
   /// @return the longest pause between two events.
-  Duration longest_gap() const { return this->longest; }
+  Duration longest_gap() const { return this->max_gap; }
 
   /// @return the mean pause between two events, or nothing while there are fewer.
   std::optional<Duration> mean_gap() const;
 
  private:
   std::optional<std::uint64_t> last_id;
-  std::string last_text;
+  std::string last_id_string;
   std::uint64_t count = 0;
   MonotonicTime first_at{};
   MonotonicTime last_at{};
-  Duration longest{};
+  Duration max_gap{};
 };
 
 }  // namespace shuntbank::relay
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -241,7 +241,7 @@
   const PlatformDialect dialect;
   const auto leaving = [&](const char* more) {
     const std::string body = std::string(R"({"stage":"decode","sequence":2)") + more + "}";
-    return dialect.parse_report(body).value().leaving;
+    return dialect.parse_report(body).value().draining;
   };
   cr_assert(leaving(R"(,"state":"draining")"));
   cr_assert_not(leaving(R"(,"state":"ready")"));
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -14,28 +14,29 @@
 
 std::unique_ptr<Timer> ManualRuntime::after(Duration delay, std::function<void()> function) {
   auto alive = std::make_shared<bool>(true);
-  due_.emplace(now_ + delay, Entry{std::move(function), alive});
+  timers_.emplace(now_ + delay, Entry{std::move(function), alive});
   return std::make_unique<ManualTimer>(std::move(alive));
 }
 
 void ManualRuntime::post(std::function<void()> function) {
-  due_.emplace(now_, Entry{std::move(function), always_});
+  timers_.emplace(now_, Entry{std::move(function), never_cancelled_});
 }
 
 std::string ManualRuntime::random_hex(std::size_t bytes) {
   const std::string digits = "0123456789abcdef";
   std::string text;
-  for (std::size_t i = 0; i < bytes * 2; ++i) text += digits[(++drawn_ * 7 + i) % digits.size()];
+  for (std::size_t i = 0; i < bytes * 2; ++i)
+    text += digits[(++hex_calls_ * 7 + i) % digits.size()];
   return text;
 }
 
 void ManualRuntime::advance(Duration duration) {
   const MonotonicTime until = now_ + duration;
-  while (!due_.empty() && due_.begin()->first <= until) {
-    const auto first = due_.begin();
+  while (!timers_.empty() && timers_.begin()->first <= until) {
+    const auto first = timers_.begin();
     now_ = std::max(now_, first->first);
     const Entry entry = std::move(first->second);
-    due_.erase(first);
+    timers_.erase(first);
     const auto alive = entry.alive.lock();
     if (alive) entry.function();
   }
@@ -95,17 +96,17 @@
 }
 
 void RecordingResponder::respond(HttpReply reply) {
-  seen_->status = reply.status;
-  seen_->headers = reply.headers;
-  seen_->body = reply.body;
-  seen_->finished = true;
-  ++seen_->head_count;
+  reply_->status = reply.status;
+  reply_->headers = reply.headers;
+  reply_->body = reply.body;
+  reply_->finished = true;
+  ++reply_->head_count;
 }
 
 void RecordingResponder::begin_stream(int status, const HttpHeaders& headers) {
-  seen_->status = status;
-  seen_->headers = headers;
-  ++seen_->head_count;
+  reply_->status = status;
+  reply_->headers = headers;
+  ++reply_->head_count;
 }
 
 TestDialect::TestDialect() {
@@ -184,7 +185,7 @@
   return call;
 }
 
-std::uint64_t MemoryStore::known(store::Freshness freshness) const {
+std::uint64_t MemoryStore::visible_revision(store::Freshness freshness) const {
   const bool lags = freshness == store::Freshness::kMayLag;
   return lags ? std::min(revision_, replica_revision) : revision_;
 }
@@ -199,9 +200,9 @@
     return call;
   }
   store::ObjectList list;
-  list.revision = known(freshness);
+  list.revision = visible_revision(freshness);
   std::map<std::string, store::StoredObject> objects;
-  for (const Change& change : all_) {
+  for (const Change& change : full_history_) {
     if (change.kind != kind || change.revision > list.revision) continue;
     objects[change.change.object.name] = change.change.object;
     if (change.change.gone) objects.erase(change.change.object.name);
@@ -217,13 +218,13 @@
 
 void MemoryStore::cancel(store::CallId call) {
   if (link != nullptr) link->drop(call);
-  std::erase_if(waiting_, [call](const Waiting& waiting) { return waiting.call == call; });
+  std::erase_if(pending_watches_, [call](const PendingWatch& watch) { return watch.call == call; });
 }
 
 store::ChangeBatch MemoryStore::changes_after(const std::string& kind, std::uint64_t revision,
                                               store::Freshness freshness) const {
   store::ChangeBatch batch;
-  batch.revision = known(freshness);
+  batch.revision = visible_revision(freshness);
   for (const Change& change : history_) {
     if (change.kind != kind || change.revision <= revision) continue;
     if (change.revision <= batch.revision) batch.changes.push_back(change.change);
@@ -237,7 +238,7 @@
   const store::CallId call = ++last_call_;
   ++watches;
   if (freshness == store::Freshness::kLatest) ++latest_calls;
-  if (down || revision < oldest_) {
+  if (down || revision < oldest_revision_) {
     reply<store::ChangeBatch>(
         std::move(handler),
         tl::make_unexpected(down ? store::StoreError::kNotDone : store::StoreError::kHistoryGone));
@@ -255,21 +256,20 @@
         const auto later = changes_after(kind, revision, freshness);
         send<store::ChangeBatch>(call, later.changes.size(), timeout, handler, later);
       });
-  waiting_.push_back(
+  pending_watches_.push_back(
       {call, kind, revision, freshness, timeout, std::move(handler), open, std::move(timer)});
   return call;
 }
 
-void MemoryStore::wake() {
+void MemoryStore::notify_watches() {
   if (drop_notifications) return;
-  for (Waiting& waiting : waiting_) {
-    const auto batch = changes_after(waiting.kind, waiting.revision, waiting.freshness);
-    if (!*waiting.open || batch.changes.empty()) continue;
-    *waiting.open = false;
-    send<store::ChangeBatch>(waiting.call, batch.changes.size(), waiting.timeout, waiting.handler,
-                             batch);
+  for (PendingWatch& watch : pending_watches_) {
+    const auto batch = changes_after(watch.kind, watch.revision, watch.freshness);
+    if (!*watch.open || batch.changes.empty()) continue;
+    *watch.open = false;
+    send<store::ChangeBatch>(watch.call, batch.changes.size(), watch.timeout, watch.handler, batch);
   }
-  std::erase_if(waiting_, [](const Waiting& waiting) { return !*waiting.open; });
+  std::erase_if(pending_watches_, [](const PendingWatch& watch) { return !*watch.open; });
 }
 
 void MemoryStore::put(const std::string& kind, const std::string& name,
@@ -277,28 +277,27 @@
   store::StoredObject object{name, ++revision_, content};
   kinds_[kind][name] = object;
   history_.push_back({kind, {object, false}, revision_});
-  all_.push_back(history_.back());
-  wake();
+  full_history_.push_back(history_.back());
+  notify_watches();
 }
 
 void MemoryStore::remove(const std::string& kind, const std::string& name) {
   const store::StoredObject object = kinds_[kind][name];
   kinds_[kind].erase(name);
   history_.push_back({kind, {object, true}, ++revision_});
-  all_.push_back(history_.back());
-  wake();
+  full_history_.push_back(history_.back());
+  notify_watches();
 }
 
 void MemoryStore::forget_history() {
   history_.clear();
-  oldest_ = ++revision_;
-  for (Waiting& waiting : waiting_) {
-    if (std::exchange(*waiting.open, false)) {
-      reply<store::ChangeBatch>(waiting.handler,
-                                tl::make_unexpected(store::StoreError::kUncertain));
+  oldest_revision_ = ++revision_;
+  for (PendingWatch& watch : pending_watches_) {
+    if (std::exchange(*watch.open, false)) {
+      reply<store::ChangeBatch>(watch.handler, tl::make_unexpected(store::StoreError::kUncertain));
     }
   }
-  waiting_.clear();
+  pending_watches_.clear();
 }
 
 void MemoryStore::read(const std::string& kind, const std::string& name, Duration,
@@ -360,23 +359,23 @@
   using namespace std::chrono_literals;
   relay::RouteConfiguration configuration;
   configuration.version = version;
-  const auto route = [&](const std::string& name, const std::string& service, relay::RouteKind kind,
-                         std::uint32_t attempts, bool resumable) {
-    relay::Route made;
-    made.name = name;
-    made.host = "site";
-    made.path_prefix = "/" + name + "/";
-    made.kind = kind;
-    made.split = {{ServiceName(service), 1}};
-    made.max_attempts = attempts;
-    made.timeout = 3s;
-    made.resumable = resumable;
-    configuration.routes.push_back(made);
+  const auto add_route = [&](const std::string& name, const std::string& service,
+                             relay::RouteKind kind, std::uint32_t attempts, bool resumable) {
+    relay::Route route;
+    route.name = name;
+    route.host = "site";
+    route.path_prefix = "/" + name + "/";
+    route.kind = kind;
+    route.split = {{ServiceName(service), 1}};
+    route.max_attempts = attempts;
+    route.timeout = 3s;
+    route.resumable = resumable;
+    configuration.routes.push_back(route);
   };
-  route("safe", "plain", relay::RouteKind::kSafe, 2, false);
-  route("once", "plain", relay::RouteKind::kUnsafe, 1, false);
-  route("stream", "model", relay::RouteKind::kStream, 1, false);
-  route("resumable", "model", relay::RouteKind::kStream, 2, true);
+  add_route("safe", "plain", relay::RouteKind::kSafe, 2, false);
+  add_route("once", "plain", relay::RouteKind::kUnsafe, 1, false);
+  add_route("stream", "model", relay::RouteKind::kStream, 1, false);
+  add_route("resumable", "model", relay::RouteKind::kStream, 2, true);
   relay::ModelServing model;
   model.kv_tokens = 100000;
   model.kv_token_bytes = 1000;
@@ -439,10 +438,10 @@
   for (const HttpHeader& field : more.fields()) request.headers.add(field.name, field.value);
   request.body = body;
   request.caller = caller_address;
-  auto seen = std::make_shared<RecordedReply>();
-  caller = std::make_shared<RecordingResponder>(seen);
+  auto reply = std::make_shared<RecordedReply>();
+  caller = std::make_shared<RecordingResponder>(reply);
   node->handle(std::move(request), caller);
-  return seen;
+  return reply;
 }
 
 }  // namespace shuntbank::testing
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -46,9 +46,9 @@
   class ManualTimer;
 
   MonotonicTime now_{std::chrono::seconds(1000)};
-  std::multimap<MonotonicTime, Entry> due_;
-  std::shared_ptr<bool> always_ = std::make_shared<bool>(true);
-  std::uint64_t drawn_ = 0;
+  std::multimap<MonotonicTime, Entry> timers_;
+  std::shared_ptr<bool> never_cancelled_ = std::make_shared<bool>(true);
+  std::uint64_t hex_calls_ = 0;
 };
 
 /// One request that the node has sent.
@@ -96,24 +96,24 @@
 /// Records a reply. The caller can go away.
 class RecordingResponder : public ConnectionResponder {
  public:
-  explicit RecordingResponder(std::shared_ptr<RecordedReply> seen) : seen_(std::move(seen)) {}
+  explicit RecordingResponder(std::shared_ptr<RecordedReply> reply) : reply_(std::move(reply)) {}
   void respond(HttpReply reply) override;
   void begin_stream(int status, const HttpHeaders& headers) override;
-  void write(std::string_view piece) override { seen_->body += piece; }
+  void write(std::string_view piece) override { reply_->body += piece; }
   std::size_t pending_bytes() const override { return 0; }
   void on_drained(std::function<void()>) override {}
-  void finish() override { seen_->finished = true; }
-  void on_closed(std::function<void()> handler) override { closed_ = std::move(handler); }
-  void abort() override { seen_->aborted = true; }
+  void finish() override { reply_->finished = true; }
+  void on_closed(std::function<void()> handler) override { closed_handler_ = std::move(handler); }
+  void abort() override { reply_->aborted = true; }
 
   void disconnect() {
-    const auto handler = std::exchange(closed_, nullptr);
+    const auto handler = std::exchange(closed_handler_, nullptr);
     if (handler) handler();
   }
 
  private:
-  std::shared_ptr<RecordedReply> seen_;
-  std::function<void()> closed_;
+  std::shared_ptr<RecordedReply> reply_;
+  std::function<void()> closed_handler_;
 };
 
 /// Header names and formats of the tests' own.
@@ -194,7 +194,7 @@
     store::ObjectChange change;
     std::uint64_t revision;
   };
-  struct Waiting {
+  struct PendingWatch {
     store::CallId call;
     std::string kind;
     std::uint64_t revision;
@@ -204,10 +204,10 @@
     std::shared_ptr<bool> open;
     std::shared_ptr<Timer> timer;
   };
-  std::uint64_t known(store::Freshness freshness) const;
+  std::uint64_t visible_revision(store::Freshness freshness) const;
   store::ChangeBatch changes_after(const std::string& kind, std::uint64_t revision,
                                    store::Freshness freshness) const;
-  void wake();
+  void notify_watches();
   /// Answers a list or a watch, over the link where there is one.
   template <typename Value>
   void send(store::CallId call, std::size_t objects, Duration timeout,
@@ -233,10 +233,10 @@
   Runtime& runtime_;
   std::map<std::string, std::map<std::string, store::StoredObject>> kinds_;
   std::vector<Change> history_;
-  std::vector<Change> all_;  ///< With what the store has forgotten.
-  std::vector<Waiting> waiting_;
+  std::vector<Change> full_history_;  ///< With what the store has forgotten.
+  std::vector<PendingWatch> pending_watches_;
   std::uint64_t revision_ = 1;
-  std::uint64_t oldest_ = 0;
+  std::uint64_t oldest_revision_ = 0;
   store::CallId last_call_ = 0;
 };
 
