--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -5,7 +5,7 @@
 namespace shuntbank::relay {
 namespace {
 
-/// @return the place behind the blank line that ends the first event, or npos.
+/// @return the offset after the blank line that ends the first event, or npos.
 std::size_t end_of_event(std::string_view text) {
   const std::size_t lf = text.find("\n\n");
   const std::size_t crlf = text.find("\n\r\n");
--- a/src/relay/event_splitter.hpp
+++ b/src/relay/event_splitter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Cuts a body of server-sent events into whole events, passing on their bytes as they are.
+/// Splits a stream of server-sent events into complete events without changing their bytes.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 
 namespace shuntbank::relay {
 
-/// One event with its closing blank line. The views are valid during the call that delivers it.
+/// One event with its closing blank line. The views are valid only during the handler's call.
 struct RawEvent {
   std::string_view bytes;
-  std::optional<std::uint64_t> id;  ///< Of its `id` field, when that is a whole number.
+  std::optional<std::uint64_t> id;  ///< The `id` field, if it is a whole number.
   std::string_view id_text;
 };
 
-/// Collects pieces and hands on whole events.
+/// Buffers partial events between pieces.
 class EventSplitter {
  public:
-  /// @param handler returns false to stop.
-  /// @return false when an event grows beyond `kMaxEventSize`: the stream is not usable.
+  /// Calls the handler for each complete event.
+  /// @return false when an event exceeds `kMaxEventSize`: the stream is unusable.
   bool feed(std::string_view piece, const std::function<void(const RawEvent&)>& handler);
 
-  /// @return whether bytes of an event without its end are held.
+  /// @return whether an incomplete event is buffered.
   bool has_partial() const { return !partial_.empty(); }
 
   void clear() { partial_.clear(); }
--- a/src/relay/malformed_message.hpp
+++ b/src/relay/malformed_message.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// The log line of a message between nodes that cannot be read.
+/// Logging of malformed messages between nodes.
 #pragma once
 
 #include <string>
 
 namespace shuntbank::relay {
 
-/// @param what kind of message it is. @param why it cannot be read.
+/// @param what kind of message. @param why parse error.
 void log_malformed_message(const char* what, const std::string& why);
 
 }  // namespace shuntbank::relay
--- a/src/relay/relay_context.hpp
+++ b/src/relay/relay_context.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the sessions of one relay node share.
+/// State and services shared by the sessions of one relay node.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace shuntbank::relay {
 
-/// What sessions share. All of it outlives them.
+/// Shared by all sessions. All references outlive them.
 struct RelayContext {
   Runtime& runtime;
   HttpClient& http;
@@ -32,28 +32,27 @@
   EnginePermits& permits;
 
   std::function<void()> load_changed;                      ///< May be empty.
-  std::function<void(const TenantName&)> request_started;  ///< The same; a tenant's request runs.
-  std::vector<PromptRead>
-      pending_prompt_reads;  ///< Not yet told to other nodes; empty where none listens.
-  std::vector<EngineTrouble> pending_troubles;   ///< The same.
-  std::vector<LimitNews> pending_limit_updates;  ///< The same.
+  std::function<void(const TenantName&)> request_started;  ///< May be empty.
+  std::vector<PromptRead> pending_prompt_reads;  ///< Not yet sent; empty without a load exchange.
+  std::vector<EngineTrouble> pending_troubles;   ///< Likewise.
+  std::vector<LimitNews> pending_limit_updates;  ///< Likewise.
 
-  /// An engine has read a prompt and keeps its parts.
+  /// An engine has prefilled a prompt and caches its parts.
   void on_prompt_read(const EngineId& engine, const std::vector<PromptPart>& parts);
 
-  /// Other nodes need not find out for themselves.
+  /// Queues a trouble report for the other nodes.
   void queue_trouble(const EngineTrouble& trouble);
 
-  /// An engine has changed its limit.
+  /// Queues a changed engine limit for the other nodes.
   void queue_limit_update(const LimitNews& news);
 
-  /// Nobody listens at the engine's address any more: it has ended, not just a connection to it.
+  /// The engine's address refuses connections: the engine process has terminated.
   void on_engine_ended(const EngineId& engine);
 
-  /// An engine has answered what it was sent at `sent_at`.
+  /// An engine has answered a request that was sent at `sent_at`.
   void on_engine_answered(const EngineId& engine, MonotonicTime sent_at);
 
-  /// The work under way at an engine has changed.
+  /// The load in flight at an engine has changed.
   void notify_load_changed() const {
     if (load_changed) load_changed();
   }
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -85,7 +85,7 @@
   metrics_.set_gauge("engines", static_cast<double>(engines_.size()));
 }
 
-/// Another start of an engine has the address or the name: the one before has ended.
+/// Reports previous incarnations with the record's address or name as terminated.
 void RelayNode::report_replaced(const EngineRecord& record) {
   const EngineView* previous = engines_.find_named(record.own_name());
   const bool moved = previous != nullptr && previous->record.address != record.address;
@@ -98,7 +98,7 @@
   }
 }
 
-/// An engine that has not said that it leaves has ended when the list lacks it.
+/// An engine that disappears from the list without draining has crashed.
 void RelayNode::report_unlisted(const EngineId& engine) {
   const EngineView* view = engines_.find(engine);
   if (view != nullptr && !view->record.draining) quarantine_.on_engine_ended(engine);
@@ -107,7 +107,7 @@
 void RelayNode::set_engine(const EngineRecord& record) {
   if (engines_.outdated(record)) return log_engine("engine_outdated", record);
   report_replaced(record);
-  // It may have been missing from the list only since the store was away.
+  // An engine that was only unlisted, during a store outage, is alive.
   if (engines_.find(record.id) == nullptr) {
     quarantine_.on_engine_answered(record.id, io_.runtime.now());
   }
@@ -150,7 +150,7 @@
   const bool changed = !(fleet == fleet_) || assumed_nodes_ == 0;
   fleet_ = fleet;
   const auto nodes = static_cast<double>(fleet.nodes);
-  // One more than known: one that was added, of which this node has not heard.
+  // Counts one more node, which may have been added without this node knowing of it yet.
   assumed_nodes_ = std::max(assumed_nodes_, nodes + 1);
   settings_.expected_nodes = std::max(settings_.expected_nodes, nodes);
   if (changed) update_slack_share();
@@ -182,7 +182,7 @@
   responder.respond(std::move(reply));
 }
 
-/// A request with several keys has none: which of them speaks for it cannot be told.
+/// Several keys are ambiguous and count as none.
 KeyVerdict RelayNode::admit(const Route& route, const HttpRequest& request) const {
   const std::string& field = io_.dialect.names().tenant_key;
   const bool single_key = request.headers.count(field) == 1;
@@ -207,7 +207,7 @@
     return refuse(request, *responder, http_status::kUnauthorized, "no known key");
   }
   const ServiceName& service = splits_.choose(*route);
-  // The end handler needs the session that it belongs to, which does not exist yet.
+  // The end handler refers to its own session, which does not exist yet.
   auto weak_session = std::make_shared<std::weak_ptr<RelaySession>>();
   auto session =
       std::make_shared<RelaySession>(context_, table_, *route, verdict.tenant, service,
--- a/src/relay/relay_node.hpp
+++ b/src/relay/relay_node.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The relay of one machine: the configuration in force, the engines that are known, the requests
-/// under way, readiness and the orderly stop. It knows no sockets.
+/// The relay of one machine: active configuration, known engines, requests in flight, readiness and
+/// graceful shutdown. Does no socket I/O itself.
 #pragma once
 
 #include <functional>
@@ -23,22 +23,22 @@
 
 namespace shuntbank::relay {
 
-/// What a relay node does its input and output with. All of it outlives the node.
+/// I/O interfaces of a relay node. All of them outlive the node.
 struct RelayIo {
   Runtime& runtime;
   HttpClient& http;
   const EngineDialect& dialect;
 };
 
-/// The relay nodes as this one knows them.
+/// The fleet of relay nodes as seen by this one.
 struct Fleet {
   std::size_t nodes = 1;  ///< This one included.
-  std::size_t rank = 0;   ///< This one's place in an order that all nodes agree on, from 0.
+  std::size_t rank = 0;   ///< Position in an order that all nodes agree on, from 0.
 
   bool operator==(const Fleet&) const = default;
 };
 
-/// One relay node. All of it runs on one thread.
+/// One relay node. Runs on a single thread.
 class RelayNode {
  public:
   RelayNode(const RelayIo& io, const RelaySettings& settings);
@@ -46,36 +46,36 @@
   RelayNode(const RelayNode&) = delete;
   RelayNode& operator=(const RelayNode&) = delete;
 
-  /// Takes a configuration over unless the one in force is as new. Requests under way keep theirs.
-  /// @return whether it is now in force.
+  /// Activates a configuration unless the active one is as new. Requests in flight keep theirs.
+  /// @return whether it is now active.
   bool adopt(RouteConfiguration configuration);
 
-  /// Takes the whole list of engines.
+  /// Replaces the list of engines.
   void set_engines(const std::vector<EngineRecord>& records);
 
-  /// Takes one engine's record.
+  /// Adds or updates one engine.
   void set_engine(const EngineRecord& record);
 
-  /// Forgets the engine that calls itself so; what runs there goes on.
+  /// Removes the engine of that name. Requests in flight there continue.
   void remove_engine(const std::string& name);
 
-  /// Somebody else has written over an engine's record: it is not used until the engine has written
-  /// again. That says nothing of its end.
+  /// Stops using an engine whose record was overwritten by another writer, until the engine writes
+  /// it again. The engine is not taken for crashed.
   void invalidate_engine(const std::string& name);
 
   /// Handles a request of a caller.
   void handle(HttpRequest request, const std::shared_ptr<ConnectionResponder>& responder);
 
-  /// @return whether the node may get new callers.
+  /// @return whether the node should receive new connections.
   bool ready() const;
 
-  /// The process is to stop: not ready from now on, requests are still taken.
+  /// Begins shutdown: not ready from now on, requests are still accepted.
   void begin_stop();
 
-  /// Gives up what is still under way.
+  /// Aborts all requests in flight.
   void abort_all();
 
-  /// @return requests under way.
+  /// @return number of requests in flight.
   std::size_t in_flight() const { return sessions_.size(); }
 
   const RouteTable* table() const { return table_.get(); }
@@ -85,57 +85,57 @@
   EngineListener& listener() { return listener_; }
   EnginePermits& permits() { return permits_; }
 
-  /// Sets what is called when the work under way at engines has changed.
+  /// Sets the handler for changes of the load in flight at engines.
   void on_load_changed(std::function<void()> handler) {
     context_.load_changed = std::move(handler);
   }
 
-  /// Sets what is called when a tenant's request has begun to run at an engine.
+  /// Sets the handler for a tenant's request that has started to run at an engine.
   void on_request_started(std::function<void(const TenantName&)> handler) {
     context_.request_started = std::move(handler);
   }
 
-  /// The work under way at engines has changed.
+  /// The load in flight at engines has changed.
   void notify_load_changed() const { context_.notify_load_changed(); }
 
-  /// Tells the other nodes what was met at an engine.
+  /// Queues a trouble report for the other nodes.
   void queue_trouble(const EngineTrouble& trouble) { context_.queue_trouble(trouble); }
 
-  /// @return prompts that engines have read for this node since the last call.
+  /// @return prompts that engines have prefilled for this node since the last call.
   std::vector<PromptRead> take_prompt_reads() {
     return std::exchange(context_.pending_prompt_reads, {});
   }
 
-  /// @return what was met at engines since the last call.
+  /// @return trouble reports since the last call.
   std::vector<EngineTrouble> take_troubles() {
     return std::exchange(context_.pending_troubles, {});
   }
 
-  /// @return limits of engines that have changed since the last call.
+  /// @return engine limits changed since the last call.
   std::vector<LimitNews> take_limit_updates() {
     return std::exchange(context_.pending_limit_updates, {});
   }
 
-  /// An engine has read a prompt for another node.
+  /// An engine has prefilled a prompt for another node.
   void on_peer_prompt_read(const PromptRead& read);
 
-  /// An engine has told another node its limit.
+  /// Another node has reported an engine's limit.
   void on_peer_limit(const EngineId& engine, const ToldLimit& told);
 
-  /// Learns of the other relay nodes, which share the budgets.
+  /// Sets the fleet, whose nodes share the retry budgets.
   void set_fleet(const Fleet& fleet);
 
   const Fleet& fleet() const { return fleet_; }
 
-  /// Sets what is called when the fleet has changed.
+  /// Sets the handler for a changed fleet.
   void on_fleet_changed(std::function<void(const Fleet&)> handler) {
     fleet_changed_handler_ = std::move(handler);
   }
 
-  /// Sets what is called when a configuration came into force.
+  /// Sets the handler for a newly active configuration.
   void on_configuration_adopted(std::function<void(const RouteTable&)> handler);
 
-  /// Sets what is called with the address of an engine that is gone or has moved.
+  /// Sets the handler that gets the address of an engine that is gone or has moved.
   void on_address_released(std::function<void(const std::string&)> handler);
 
  private:
@@ -159,9 +159,9 @@
   std::shared_ptr<const RouteTable> table_;
   SplitChooser splits_;
   Fleet fleet_;
-  double assumed_nodes_ = 0;  ///< That share the slack of the retry budgets; 0: not known yet.
-  /// This process spends no slack before: until then a window may hold what an earlier life of it
-  /// spent, and the list of nodes may still lack some.
+  double assumed_nodes_ = 0;  ///< Sharing the retry budgets' slack; 0: unknown yet.
+  /// No slack is spent earlier: a previous run of this process may have spent it in the same
+  /// window, and the list of nodes may be incomplete.
   MonotonicTime slack_available_from_{};
   bool engines_known_ = false;
   bool stopping_ = false;
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -21,10 +21,9 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Between two looks at whether a stopping process has become idle.
 constexpr Duration kStopCheckInterval = std::chrono::milliseconds(100);
 
-/// Left of the grace for giving up what is under way.
+/// Reserved at the end of the stop grace for aborting requests in flight.
 constexpr Duration kStopMargin = std::chrono::milliseconds(600);
 
 constexpr std::string_view kMetricsPath = "/metrics";
@@ -38,7 +37,7 @@
   return settings;
 }
 
-/// Between two looks at who reads the store. A reader that is silent is noticed that much later.
+/// Delays the detection of a silent store reader by up to this much.
 constexpr Duration kReadersCheckInterval = std::chrono::milliseconds(250);
 
 CatalogSettings catalog_settings(const RelaySettings& settings) {
@@ -76,7 +75,7 @@
                                                         settings.node, settings.capacity);
     }
     if (addresses.peers.empty()) {
-      // Nobody will ever give hints.
+      // Without peers there are no revision hints, so this node reads the store itself.
       catalog_.set_readers({true, runtime.now()});
     } else {
       start_load_exchange(loop, addresses.peers);
@@ -210,7 +209,7 @@
     if (usage_) usage_->tell_last();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopped",
               {{"under_way", node_.in_flight()}, {"after_s", to_seconds(elapsed)}});
-    // The last answers are still on their way to the kernel.
+    // The last answers may not have reached the kernel yet.
     call_after(runtime_, kStopCheckInterval, handler);
   }
 
--- a/src/relay/relay_process.hpp
+++ b/src/relay/relay_process.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A relay node with its sockets: the callers' address, readiness, metrics, the watch of the store,
-/// reload and the orderly stop.
+/// A relay node with its sockets: caller and admin endpoints, metrics, the store watch, reload and
+/// graceful shutdown.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,39 +17,39 @@
 
 namespace shuntbank::relay {
 
-/// Addresses that a relay process listens on, as IP:PORT. Empty ones are not served.
+/// Listen addresses of a relay process, as IP:PORT. Empty ones are not served.
 struct RelayAddresses {
   std::string callers;
   std::string ready;
   std::string control;
   std::string metrics;
-  std::string peers;  ///< Where other nodes of the system reach this one.
+  std::string peers;  ///< For messages between relay nodes.
 };
 
-/// What stands around the system, as the adapter brings it. All of it outlives the process.
+/// Interfaces to the platform, implemented by its adapter. All of them outlive the process.
 struct PlatformPorts {
   store::ObjectStore& store;
   const CatalogCodec& codec;
   const EngineDialect& dialect;
-  DutyService* duties = nullptr;  ///< Null where the platform takes no calls for the whole fleet.
+  DutyService* duties = nullptr;  ///< Null where the platform has no fleet-wide duties.
 };
 
-/// One relay process. All of it runs on the loop.
+/// One relay process. Runs on the event loop's thread.
 class RelayProcess {
  public:
-  /// Listens at once. All references outlive this. @throw std::system_error when an address cannot
-  /// be had.
+  /// Listens at once. All references outlive this.
+  /// @throw std::system_error when an address cannot be bound.
   RelayProcess(asio::io_context& loop, Runtime& runtime, const PlatformPorts& platform,
                const RelaySettings& settings, const RelayAddresses& addresses);
   ~RelayProcess();
   RelayProcess(const RelayProcess&) = delete;
   RelayProcess& operator=(const RelayProcess&) = delete;
 
-  /// Takes settings that may change while the process runs.
+  /// Applies the settings that can change at run time.
   void reload(const RelaySettings& settings);
 
-  /// Stops in order: not ready at once, callers are served until they have found other nodes, what
-  /// is under way ends, then `on_stopped` is called.
+  /// Shuts down gracefully: not ready at once, serves callers until they have moved to other nodes,
+  /// finishes requests in flight, then calls `on_stopped`.
   void stop(std::function<void()> on_stopped);
 
  private:
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -10,10 +10,10 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Time below which another engine cannot answer any more.
+/// With less time left, a request is not sent to another engine.
 constexpr Duration kMinUsefulTime = std::chrono::milliseconds(20);
 
-/// Range of the urgency that engines take.
+/// Range of the urgency header; 0 is the most urgent.
 constexpr int kMostUrgent = 0;
 constexpr int kLeastUrgent = 9;
 
@@ -104,7 +104,7 @@
   return query;
 }
 
-/// @return the engine that takes a prompt up which was read elsewhere.
+/// @return the decode engine for a prompt that was prefilled at another engine.
 std::optional<Placement> RelaySession::place_decode() {
   update_crash_risk_engines();
   PlacementQuery query = placement_query();
@@ -112,7 +112,7 @@
   return place(context_.runtime.now(), context_.engines, query, context_.settings.placement);
 }
 
-/// Sends the request where the choice says. @return false when no engine can be chosen.
+/// Plans the dispatch and sends the request. @return false when no engine is available.
 bool RelaySession::try_send() {
   if (service_ == nullptr) return false;
   update_crash_risk_engines();
@@ -136,7 +136,7 @@
 DispatchQuery RelaySession::dispatch_query() const {
   DispatchQuery query;
   query.placement = placement_query();
-  // The fewer engines have to do with it the better.
+  // A request that may crash engines involves as few of them as possible.
   query.prompt_sent = history_.prompt_sent || query.placement.may_end_engine;
   query.extra = history_.arrived;
   query.budget = budget_left() - (history_.arrived ? 1 : 0);
@@ -196,7 +196,7 @@
   }
   outgoing.body = request_.body;
   outgoing.connect_timeout = std::min(context_.settings.connect_timeout, time_left());
-  // The engine may say that it wants no more while the connection to it is made.
+  // The engine may start to drain or back off while the connection to it is made.
   outgoing.still_wanted = [&context = context_, engine = record.id, permit = permit_] {
     const MonotonicTime now = context.runtime.now();
     return !context.engines.notices().wants_none(now, engine) &&
@@ -213,7 +213,7 @@
   return tenant_ == nullptr ? std::string_view() : std::string_view(tenant_->name.value());
 }
 
-/// Requests that cannot be in time any more hold up none that can.
+/// Deferred requests get the lowest urgency, so that they delay none that can be in time.
 int RelaySession::urgency() const {
   const int priority =
       tenant_ == nullptr ? route_.priority : tenant_->priority.value_or(route_.priority);
@@ -287,10 +287,9 @@
     ++history_.sends;
     history_.arrived = true;
   }
-  // A prompt that was only read has not run.
+  // A prefill alone does not run the request.
   if (outcome == AttemptOutcome::kUncertain && !prefill_only) ++history_.may_have_run;
-  // A refusal of a handle does not speak against the engine, which may still read the prompt
-  // itself.
+  // An engine that refuses a handle may still serve the request by prefilling the prompt itself.
   if (step_ == Step::kDecodeFromHandle) {
     prompt_handle_.clear();
     if (outcome != AttemptOutcome::kRefused) failed_engines_.push_back(engine_);
@@ -298,7 +297,7 @@
     failed_engines_.push_back(engine_);
   }
   if (interruption_limit_reached())
-    return end_without_answer(why + ", as engines have before, which may have ended");
+    return end_without_answer(why + ", and engines may have crashed under this request before");
   const AttemptVerdict verdict = after_failure(route_, history_);
   if (verdict != AttemptVerdict::kTryElsewhere) return end_without_answer(why);
   if (!within_budget()) return end_over_budget(why);
@@ -360,7 +359,7 @@
   report_unresponsive();
   context_.http.cancel(*transfer_);
   transfer_.reset();
-  permit_.reset();  // It may have reached the engine.
+  permit_.reset();  // Not released: the request may have reached the engine.
   release_engine();
 }
 
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One relayed request, from its arrival to its final answer.
+/// Lifecycle of one relayed request, from its arrival to its final answer.
 #pragma once
 
 #include <functional>
@@ -23,31 +23,32 @@
 
 namespace shuntbank::relay {
 
-/// The result of a request whose caller got an engine's whole answer.
+/// Result of a request whose caller got an engine's complete answer.
 constexpr const char* kAnswered = "answered";
 
-/// One relayed request. Keeps itself alive until it has ended.
+/// Relays one request. Keeps itself alive until the request has ended.
 class RelaySession : public std::enable_shared_from_this<RelaySession> {
  public:
   using EndHandler = std::function<void()>;
 
-  /// @param table the configuration that the request is served under; kept until the end.
-  /// @param route of `table`. @param tenant of `table` whose request it is, or null.
+  /// @param table configuration that the request is served under; held until the end.
+  /// @param route entry of `table`.
+  /// @param tenant entry of `table` for the caller's tenant, or null.
   RelaySession(RelayContext& context, std::shared_ptr<const RouteTable> table, const Route& route,
                const DeclaredTenant* tenant, ServiceName service, HttpRequest request,
                std::shared_ptr<ConnectionResponder> responder, EndHandler on_end);
 
-  /// Takes the request up. Call once.
+  /// Starts serving the request. Call once.
   void start();
 
-  /// Gives up now: the process must end.
+  /// Ends the request at once, as on a timeout, because the process is stopping.
   void abort();
 
  private:
-  /// What the attempt under way is for.
+  /// Purpose of the current attempt.
   enum class Step { kPlain, kPrefill, kDecodeFromHandle };
 
-  // Setting out.
+  // Dispatch.
   bool parse_request_headers();
   void dispatch();
   PlacementQuery placement_query() const;
@@ -77,24 +78,24 @@
   void on_stream_end();
   void on_complete_answer();
 
-  // Engines that end under it.
+  // Crashing requests and quarantine.
   CrashStanding suspect_status() const;
   bool needs_isolation() const;
   bool interruption_limit_reached() const;
   bool reject_if_quarantined();
   void answer_quarantined(const CrashStanding& status);
-  /// @return why it is not sent now, or null.
+  /// @return the reason to refuse the request for now, or null.
   static const char* wait_reason(const CrashStanding& status);
   void update_crash_risk_engines();
   void report_interruption();
   void report_unresponsive();
 
-  // Engines that rest.
+  // Engines in cooldown.
   bool wait_for_cooldown();
   void on_cooldown_end();
   Duration caller_retry_delay() const;
 
-  // Engines that take so many a second.
+  // Permits of rate-limited engines.
   void on_decode_permit(const EngineId& prefill_engine, std::optional<SendPermit> permit);
   void on_permit(const EngineId& engine, Step step, std::optional<SendPermit> permit);
   void wait_for_permit();
@@ -116,7 +117,7 @@
   void on_timeout();
   void on_caller_closed();
 
-  // Ends.
+  // Completion.
   void cancel_transfer();
   void release_engine();
   void release_handle();
@@ -142,58 +143,57 @@
   std::shared_ptr<ConnectionResponder> responder_;
   EndHandler on_end_;
   std::string id_;
-  /// Set once it is needed: while something is known against any request, or when an engine has
-  /// broken this one off.
+  /// Computed on demand: while any request is suspect, or when an engine interrupted this one.
   std::optional<TriedRequest> identity_;
   std::optional<PromptShape> prompt_;
   MonotonicTime arrived_{};
   MonotonicTime expires_{};
   std::unique_ptr<Timer> timer_;
-  std::unique_ptr<Timer> wait_timer_;  ///< Until an engine takes the request, or any again.
+  std::unique_ptr<Timer> wait_timer_;  ///< For a permit or the end of a cooldown.
 
   AttemptHistory history_;
-  std::vector<EngineId> failed_engines_;    ///< Engines that failed or refused this request.
-  std::set<EngineKey> crash_risk_engines_;  ///< Engines that other suspects have; see `Quarantine`.
-  bool on_trial_ = false;                   ///< The engine may end under it, and others were told.
+  std::vector<EngineId> failed_engines_;    ///< Failed or refused this request.
+  std::set<EngineKey> crash_risk_engines_;  ///< With other suspects in flight.
+  bool on_trial_ = false;                   ///< In a trial registered with `Quarantine`.
 
-  std::optional<SendPermit> permit_;         ///< For the next send, or the one under way.
-  std::optional<SendPermit> decode_permit_;  ///< For taking up the prompt that is being read.
-  Placement decode_placement_;               ///< The engine which that permit is for.
-  std::map<EngineId, int> permit_refusals_;  ///< How often none was to be had.
+  std::optional<SendPermit> permit_;         ///< For the next or the current send.
+  std::optional<SendPermit> decode_permit_;  ///< For the decode after a remote prefill.
+  Placement decode_placement_;               ///< The engine of `decode_permit_`.
+  std::map<EngineId, int> permit_refusals_;  ///< Failed permit requests by engine.
 
-  // The attempt under way.
+  // The current attempt.
   Step step_ = Step::kPlain;
   EngineId engine_;
   std::uint64_t prefill_tokens_ = 0;
-  bool deferred_ = false;               ///< Waits behind requests that can be in time.
-  double expected_first_token_ms_ = 0;  ///< Until the first token, when the engine was chosen.
+  bool deferred_ = false;               ///< Yields to requests that can be in time.
+  double expected_first_token_ms_ = 0;  ///< Estimate at dispatch.
   bool prefill_tokens_released_ = false;
   bool attempt_counted_ = false;
-  bool charged_to_budget_ = false;  ///< Was charged to the retry budget when it was sent.
-  bool idle_when_sent_ = false;     ///< The engine had no other work that this node knew of.
+  bool charged_to_budget_ = false;  ///< Sent as an extra dispatch.
+  bool idle_when_sent_ = false;     ///< The engine had no other known work.
   std::optional<TransferId> transfer_;
   MonotonicTime sent_at_{};
-  MonotonicTime last_activity_at_{};  ///< The engine's last sign of life, or when it was sent.
+  MonotonicTime last_activity_at_{};  ///< Time of the send or the last data received.
   int status_ = 0;
   HttpHeaders headers_;
   bool refused_ = false;
-  bool streaming_ = false;  ///< The answer of this attempt is passed on event by event.
+  bool streaming_ = false;  ///< Events are forwarded as they arrive.
   std::string body_;
   bool overflow_ = false;
   bool answer_invalid_ = false;
   EventSplitter splitter_;
 
-  // Planned for the next sends.
-  Placement placement_;        ///< The last choice of an engine, with what spoke for it.
-  std::string fetch_address_;  ///< Engine from which parts of the prompt are taken; may be empty.
-  std::string prompt_handle_;  ///< Of the prompt read ahead, not yet taken.
-  std::string prompt_handle_address_;  ///< Engine that holds it.
+  // Plan for the next sends.
+  Placement placement_;                ///< The last placement.
+  std::string fetch_address_;          ///< Engine to fetch cached prompt parts from, or empty.
+  std::string prompt_handle_;          ///< Of a remote prefill not yet used.
+  std::string prompt_handle_address_;  ///< Engine that holds the handle.
 
-  StreamProgress progress_;  ///< What the caller has of it.
+  StreamProgress progress_;  ///< Events forwarded to the caller.
 
-  bool started_ = false;  ///< An engine has begun to run it.
+  bool started_ = false;  ///< An engine has started to run the request.
 
-  std::optional<HttpReply> failure_answer_;  ///< An engine's own failure, kept while trying on.
+  std::optional<HttpReply> failure_answer_;  ///< An engine's error, sent if retries fail.
   bool ended_ = false;
 };
 
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -1,4 +1,4 @@
-// What a relayed request does with the answer of the engine that has it.
+// Handling of an engine's answer to a relayed request.
 #include <utility>
 
 #include "net/http_status.hpp"
@@ -7,13 +7,13 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Answers that are collected whole are bounded by this, in bytes.
+/// Largest answer that is buffered before it is forwarded, in bytes.
 constexpr std::size_t kMaxBufferedAnswer = 8UL << 20U;
 
-/// Bytes that wait for a slow caller before its engine is held up.
+/// Bytes pending for a slow caller above which reading from the engine pauses.
 constexpr std::size_t kHighWatermark = 256UL << 10U;
 
-/// An engine with less of its slots in use has no reason to refuse.
+/// An engine with a smaller share of its slots in use is not expected to refuse.
 constexpr double kSpareCapacityShare = 0.5;
 
 bool is_success(int status) {
@@ -32,8 +32,8 @@
   headers_ = headers;
   const MonotonicTime now = context_.runtime.now();
   last_activity_at_ = now;
-  // The next start of an engine, at the same address, refuses what is meant for the one before:
-  // that is no sign of life of that one.
+  // The next incarnation at the same address refuses requests for the previous one, so 421 does
+  // not show that the previous one is alive.
   if (status != http_status::kMisdirected) context_.on_engine_answered(engine_, sent_at_);
   if (const auto load = context_.dialect.parse_load(headers)) {
     context_.engines.on_load(now, engine_, *load);
@@ -44,7 +44,8 @@
   if (!echoed && !refused_) answer_invalid_ = true;
   const bool sealed = !headers.get(names.seal).empty();
   if (step_ != Step::kPrefill && is_success(status) && !sealed) answer_invalid_ = true;
-  // A misdirected request is answered by another engine; what does not echo the id is not trusted.
+  // Not the engine's own header: a 421 comes from another engine, an answer without the id is
+  // invalid.
   if (!answer_invalid_ && status != http_status::kMisdirected) {
     context_.listener.on_head(engine_, status, headers, id_);
   }
@@ -72,7 +73,7 @@
   return true;
 }
 
-/// Counted once, however many engines begin to run it.
+/// Reports the start once, however many engines run the request.
 void RelaySession::report_started() {
   if (tenant_ == nullptr || std::exchange(started_, true)) return;
   if (context_.request_started) context_.request_started(tenant_->name);
@@ -104,10 +105,10 @@
   responder_->write(event.bytes);
 }
 
-/// Parts that other requests share are told to the other nodes; the last one is this request's own.
+/// Reports the parts that other requests may share; the last part is specific to this request.
 void RelaySession::report_prompt_read() {
   context_.on_prompt_read(engine_, prompt_->parts);
-  // Without an exchange nobody would ever take them.
+  // Without a load exchange the queue would never be emptied.
   if (prompt_->parts.size() < 2 || !context_.load_changed) return;
   context_.pending_prompt_reads.push_back(
       {engine_, {prompt_->parts.begin(), prompt_->parts.end() - 1}});
@@ -126,8 +127,8 @@
   if (view == nullptr) return;
   const double load = view->requests_there(context_.runtime.now());
   const bool has_capacity = load < view->record.slots * kSpareCapacityShare;
-  // An engine that rests is sent nothing that could be refused in a row. Its wait is for this node;
-  // for the others it is a sign of load, which they may override.
+  // An engine in cooldown gets no further requests, so one refusal counts as repeated. The cooldown
+  // binds this node only; other nodes treat it as a hint.
   const bool in_cooldown = view->rests_until > context_.runtime.now();
   const bool repeated = view->refusals_in_a_row > 1;
   const bool refuses_with_capacity =
@@ -161,7 +162,7 @@
   }
   if (answer_invalid_ || overflow_) {
     report_health(AttemptHealth::kFailed);
-    return on_attempt_failed(AttemptOutcome::kUncertain, "the answer cannot be trusted");
+    return on_attempt_failed(AttemptOutcome::kUncertain, "the answer is invalid");
   }
   if (step_ == Step::kPrefill) return on_prefill_answer();
   if (streaming_) return on_stream_end();
@@ -173,7 +174,7 @@
   const bool not_sent = error.failure == TransferFailure::kNothingSent;
   if (withdrawn || not_sent) release_permit(permit_);
   permit_.reset();
-  // It may have another turn there.
+  // A withdrawn send may get another permit at the same engine.
   if (withdrawn && context_.permits.limited(engine_)) return redispatch(engine_);
   if (!withdrawn) report_health(not_sent ? AttemptHealth::kUnreachable : AttemptHealth::kFailed);
   if (error.connection_refused) context_.on_engine_ended(engine_);
@@ -186,7 +187,7 @@
   const auto handle = context_.dialect.parse_prefill_answer(body_);
   if (!is_success(status_) || !handle) {
     report_health(AttemptHealth::kFailed);
-    return on_attempt_failed(AttemptOutcome::kUncertain, "the prompt was not read");
+    return on_attempt_failed(AttemptOutcome::kUncertain, "the prefill failed");
   }
   report_health(AttemptHealth::kGood);
   EngineView* view = context_.engines.find(engine_);
@@ -196,11 +197,11 @@
     prompt_handle_address_ = view->record.address;
     prompt_handle_ = handle->handle;
   }
-  if (!within_budget()) return end_over_budget("the prompt was read");
+  if (!within_budget()) return end_over_budget("the prompt was prefilled");
   start_decode();
 }
 
-/// Sends the request to an engine that goes on from what was read.
+/// Sends the request to a decode engine that continues from the prefilled prompt.
 void RelaySession::start_decode() {
   if (start_planned_decode()) return;
   const auto decode = place_decode();
--- a/src/relay/relay_session_log.cpp
+++ b/src/relay/relay_session_log.cpp
@@ -1,4 +1,4 @@
-// What a relayed request logs of its attempts.
+// Log lines of the attempts of a relayed request.
 #include <utility>
 
 #include "common/log.hpp"
--- a/src/relay/relay_session_permit.cpp
+++ b/src/relay/relay_session_permit.cpp
@@ -1,4 +1,4 @@
-// What a relayed request does at engines that take so many requests a second from all nodes.
+// Permits of a relayed request at rate-limited engines.
 #include <algorithm>
 #include <utility>
 
@@ -7,11 +7,11 @@
 namespace shuntbank::relay {
 namespace {
 
-/// What this node knows of an engine's next permit may be late by so much before another choice is
-/// made: about the time between two permits of an engine that is worth waiting for.
+/// Added to the known permit wait, as that may be out of date. About the time between two permits
+/// of an engine that is worth waiting for.
 constexpr Duration kExtraPermitWait = std::chrono::milliseconds(50);
 
-/// An engine that refuses a permit so often is given up for this request; its schedule fills faster
+/// After this many refused permits an engine is excluded for the request: its schedule fills faster
 /// than this node learns of it.
 constexpr int kMaxPermitRefusals = 3;
 
@@ -19,9 +19,8 @@
 
 }  // namespace
 
-/// A taker that is limited is asked before the prompt is read: where it permits nothing in time,
-/// the prompt would be read for nothing. The permit is good for as long before the expected end of
-/// the reading as after it.
+/// Acquires the permit of a rate-limited decode engine before the prefill, which would be wasted
+/// without one. The permit's lifetime is centred on the expected end of the prefill.
 void RelaySession::start_remote_prefill(const DispatchChoice& plan) {
   const EngineId& prefill_engine = plan.placement.engine;
   if (!context_.permits.limited(plan.taker.engine))
@@ -45,12 +44,12 @@
   decode_permit_ = std::move(permit);
   if (ended_) return release_permit(decode_permit_);
   if (!decode_permit_) return redispatch(decode_placement_.engine);
-  // The answer may have come late, and the reader be gone.
+  // The prefill engine may have gone while the permit was awaited.
   if (context_.engines.find(prefill_engine) == nullptr) return dispatch();
   send_with_permit(prefill_engine, Step::kPrefill);
 }
 
-/// A prompt read apart, whoever takes it up, a retry and a plain request all come through here.
+/// Every send goes through here: prefill, decode, retry and plain.
 void RelaySession::send_with_permit(const EngineId& engine, Step step) {
   release_permit(permit_);
   if (!context_.permits.limited(engine)) return send(engine, step);
@@ -80,7 +79,7 @@
   });
 }
 
-/// Much may have happened while it waited.
+/// Rechecks the engine, the permit and the budget, which may have changed during the wait.
 void RelaySession::use_permit() {
   if (ended_) return;
   const EngineView* view = context_.engines.find(engine_);
@@ -90,11 +89,11 @@
     release_permit(permit_);
     return redispatch(engine_);
   }
-  if (!within_budget()) return end_over_budget("an engine takes it");
+  if (!within_budget()) return end_over_budget("a permit was granted");
   send(engine_, step_);
 }
 
-/// @return whether the engine that was asked before the prompt was read takes it up.
+/// Uses the permit acquired before the prefill. @return whether it was still usable.
 bool RelaySession::start_planned_decode() {
   if (!decode_permit_) return false;
   permit_ = std::exchange(decode_permit_, std::nullopt);
@@ -118,7 +117,7 @@
   context_.permits.give_back(*std::exchange(permit, std::nullopt));
 }
 
-/// The engine takes requests only later than was known: perhaps another one is better now.
+/// Plans again, as another engine may be better than one without a permit.
 void RelaySession::redispatch(const EngineId& engine) {
   engine_ = engine;
   log_attempt("no_permit", "");
--- a/src/relay/relay_session_quarantine.cpp
+++ b/src/relay/relay_session_quarantine.cpp
@@ -1,4 +1,4 @@
-// What a relayed request does about engines that end under it.
+// Detection and quarantine of requests that crash engines.
 #include "common/log.hpp"
 #include "net/http_status.hpp"
 #include "relay/relay_session.hpp"
@@ -7,16 +7,16 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Engines that may have ended under a request, from which on it is given to none that has another
-/// such request. With fewer, neighbours of the guilty one would be refused where engines are few.
+/// From this many interruptions on, a request never shares an engine with another suspect. A lower
+/// threshold would refuse harmless requests where engines are few.
 constexpr std::size_t kIsolationThreshold = 2;
 
-/// Engines that may have ended under a request, from which on it is sent to no further one until
-/// that is known: as many as are enough to hold it back.
+/// From this many interruptions on, a request is not sent again until the crashes are confirmed.
+/// Equal to the quarantine threshold.
 constexpr std::size_t kRetryStopThreshold = CrashLedgerSettings().enough;
 
-/// An engine that has said nothing for so long when it is given up may have gone dark: many times
-/// the pause between the tokens of a busy batch.
+/// An engine that was silent for this long when its attempt was cancelled may be unresponsive. Many
+/// times the event interval of a busy batch.
 constexpr Duration kSilenceTimeout = std::chrono::milliseconds(500);
 
 constexpr const char* kQuarantineAdvice =
@@ -39,8 +39,7 @@
   return status.held_for.has_value() || status.broken >= kRetryStopThreshold;
 }
 
-/// A request under which engines have ended one after the other gets its final answer at once. It
-/// protects all that runs at the next engine: in an incident up to ten streams each, at 49 engines.
+/// Answers a quarantined request at once, which protects the other requests of the next engine.
 bool RelaySession::reject_if_quarantined() {
   if (context_.quarantine.idle()) return false;
   identity_ = identity_of(request_, tenant_name());
@@ -55,8 +54,7 @@
   return true;
 }
 
-/// The status says that it has not run; that and the words tell the caller to mend the request. A
-/// client error would be truer of it, but says nothing about whether it has run.
+/// Answers 429, as other client errors don't tell the caller that the request was not run.
 void RelaySession::answer_quarantined(const CrashStanding& status) {
   context_.quarantine.on_held_again(identity_->request);
   const std::string why = std::to_string(status.ended) + " engines have ended under this request";
@@ -68,27 +66,26 @@
 
 const char* RelaySession::wait_reason(const CrashStanding& status) {
   if (!status.suspect()) return nullptr;
-  // One broken connection is no reason to hold up what a caller sends again and again.
+  // A single interruption does not block concurrent attempts.
   const bool strong_evidence = status.ended > 0 || status.broken >= kIsolationThreshold;
   if (status.under_way && strong_evidence) {
-    return "another try is under way, and engines may have ended under it";
+    return "another attempt is in flight, and engines may have crashed under it";
   }
-  // Others have ended engines with it. That is no reason to refuse whom nothing is known against;
-  // but its own try tells, and goes no further than one engine.
+  // Confirmed crashes came from other callers, so this caller gets an attempt, at one engine only.
   const bool confirmed = status.ended == status.broken;
   if (status.broken < kRetryStopThreshold || confirmed) return nullptr;
-  return "it is being found out whether engines have ended under it";
+  return "engine crashes under this request are not confirmed yet";
 }
 
-/// Suspects that run apart from each other are told apart by the next engine that ends.
+/// Keeps suspects at different engines, so that the next crash identifies the cause.
 void RelaySession::update_crash_risk_engines() {
   crash_risk_engines_.clear();
   if (!suspect_status().suspect()) return;
   crash_risk_engines_ = context_.quarantine.engines_on_trial(identity_->request);
 }
 
-/// The engine broke off what it had of the request. Tries of one request bear the same identity, so
-/// that what they met can be put together from the logs of all nodes.
+/// Logs the identity, which is the same for all attempts of a request, so that the logs of all
+/// nodes can be joined.
 void RelaySession::report_interruption() {
   if (!identity_) identity_ = identity_of(request_, tenant_name());
   log_event(LogArea::kCallers, LogLevel::kInfo, "broken_by_engine",
--- a/src/relay/request_identity.hpp
+++ b/src/relay/request_identity.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Derives the identity of a request from what its caller has sent.
+/// Derives the identity of a request from its content.
 #pragma once
 
 #include "core/relay/request_identity.hpp"
@@ -7,8 +7,8 @@
 
 namespace shuntbank::relay {
 
-/// @param tenant whose request it is; empty where there are none.
-/// @return the identity of a request, and the short name of the address that it comes from.
+/// @param tenant of the caller; empty where there are no tenants.
+/// @return the identity of the request and the hash of the caller's address.
 TriedRequest identity_of(const HttpRequest& request, std::string_view tenant);
 
 }  // namespace shuntbank::relay
--- a/src/relay/stream_progress.hpp
+++ b/src/relay/stream_progress.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What of one request's stream has reached its caller, over all engines that it came from.
+/// Progress and timing of the event stream to one caller, across all engines that served it.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,31 @@
 
 namespace shuntbank::relay {
 
-/// The events that were passed on, and when.
+/// Tracks the events forwarded to the caller.
 class StreamProgress {
  public:
-  /// The caller has events up to this one from an earlier request.
+  /// The caller has received events up to this id from an earlier request.
   void resume_after(std::uint64_t id) { this->last_id = id; }
 
-  /// @return whether the event comes behind the last one; one without an id always does. A stream
-  /// that was taken up must not come before its place.
+  /// @return whether the event's id is greater than the last one, or missing. A resumed stream must
+  /// not repeat events.
   bool in_order(const RawEvent& event) const;
 
-  /// The event is passed on. @return the pause since the one before, if there was one.
+  /// The event is forwarded. @return the time since the previous one, if any.
   std::optional<Duration> on_forwarded(MonotonicTime now, const RawEvent& event);
 
   std::uint64_t event_count() const { return this->count; }
 
-  /// @return the id of the last event as it was written; empty while none with an id has passed.
+  /// @return the last event id as received, or empty.
   const std::string& last_id_text() const { return this->last_id_string; }
 
   /// @return the time between `since` and the first event; zero while there is none.
   Duration first_event_delay(MonotonicTime since) const;
 
-  /// @return the longest pause between two events.
+  /// @return the longest time between two events.
   Duration longest_gap() const { return this->max_gap; }
 
-  /// @return the mean pause between two events, or nothing while there are fewer.
+  /// @return the mean time between events, or nothing for fewer than two events.
   std::optional<Duration> mean_gap() const;
 
  private:
