--- a/tests/relay/crashing_request_test.cpp
+++ b/tests/relay/crashing_request_test.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 
-constexpr int kTries = 6;
+constexpr int kAttempts = 6;
 constexpr std::size_t kEngines = 12;
-constexpr std::size_t kMostEnded = 3;  ///< Under one request.
+constexpr std::size_t kMaxCrashes = 3;  ///< Under one request.
 const std::string kPath = "/safe/deadly";
 
 void add_engines(RelayFixture& site) {
@@ -29,50 +29,50 @@
 }
 
 /// Engines that end under the requests they are sent, as one node meets them.
-struct EndingEngines {
-  explicit EndingEngines(RelayFixture& own_site) : site(own_site) {}
+struct CrashingEngines {
+  explicit CrashingEngines(RelayFixture& fixture) : site(fixture) {}
 
   /// Ends the engine that has the transfer; whatever else is sent there finds nobody.
-  void end_under(std::size_t transfer) {
+  void crash_under(std::size_t transfer) {
     const OutgoingRequest& request = this->site.http.at(transfer).request;
-    this->ended.insert(std::string(request.headers.get("for-engine")));
+    this->crashed.insert(std::string(request.headers.get("for-engine")));
     this->site.http.fail(transfer, TransferFailure::kUncertain);
-    this->settle();
+    this->refuse_probes();
   }
 
   /// Lets all requests of callers end the engines that have them. @return engines ended so far.
-  std::size_t end_all() {
+  std::size_t crash_all() {
     for (std::size_t i = 0; i < this->site.http.count(); ++i) {
-      if (this->open(i) && this->is_of_caller(i)) this->end_under(i);
+      if (this->is_open(i) && this->is_caller_request(i)) this->crash_under(i);
     }
-    return this->ended.size();
+    return this->crashed.size();
   }
 
   /// @return times that requests of callers were sent.
-  std::size_t sends() const {
+  std::size_t send_count() const {
     std::size_t count = 0;
-    for (std::size_t i = 0; i < this->site.http.count(); ++i) count += this->is_of_caller(i);
+    for (std::size_t i = 0; i < this->site.http.count(); ++i) count += this->is_caller_request(i);
     return count;
   }
 
-  std::set<std::string> ended;
+  std::set<std::string> crashed;
 
  private:
-  bool open(std::size_t transfer) const {
+  bool is_open(std::size_t transfer) const {
     const SentRequest& sent = this->site.http.at(transfer);
     return !sent.done && !sent.cancelled;
   }
 
-  bool is_of_caller(std::size_t transfer) const {
+  bool is_caller_request(std::size_t transfer) const {
     return this->site.http.at(transfer).request.url.find(kPath) != std::string::npos;
   }
 
   /// What a node asks of an engine that has ended.
-  void settle() {
+  void refuse_probes() {
     for (std::size_t i = 0; i < this->site.http.count(); ++i) {
-      if (!this->open(i) || this->is_of_caller(i)) continue;
+      if (!this->is_open(i) || this->is_caller_request(i)) continue;
       const std::string& url = this->site.http.at(i).request.url;
-      for (const std::string& engine : this->ended) {
+      for (const std::string& engine : this->crashed) {
         if (url.find("//" + engine + ":") != std::string::npos) {
           this->site.http.refuse_connection(i);
           break;
@@ -85,22 +85,22 @@
 };
 
 /// A caller tries again and again, each time after all that it has sent has ended its engine.
-std::shared_ptr<RecordedReply> try_again_and_again(RelayFixture& site, EndingEngines& engines) {
-  std::shared_ptr<RecordedReply> seen;
-  for (int i = 0; i < kTries; ++i) {
-    seen = site.request(kPath, {{"id", "t" + std::to_string(i)}}, "GET", "");
-    engines.end_all();
+std::shared_ptr<RecordedReply> retry_repeatedly(RelayFixture& site, CrashingEngines& engines) {
+  std::shared_ptr<RecordedReply> reply;
+  for (int i = 0; i < kAttempts; ++i) {
+    reply = site.request(kPath, {{"id", "t" + std::to_string(i)}}, "GET", "");
+    engines.crash_all();
     site.runtime.advance(100ms);
   }
-  return seen;
+  return reply;
 }
 
-void let_pass(ExchangingFleet& fleet, Duration duration) {
+void advance_all(ExchangingFleet& fleet, Duration duration) {
   for (auto& site : fleet.sites) site->runtime.advance(duration);
   fleet.runtime.advance(duration);
 }
 
-std::vector<relay::LoadExchangeSettings> settings_of(std::size_t nodes, std::size_t zones) {
+std::vector<relay::LoadExchangeSettings> zone_settings(std::size_t nodes, std::size_t zones) {
   std::vector<relay::LoadExchangeSettings> all(nodes);
   for (std::size_t i = 0; i < nodes; ++i) all[i].zone = ZoneName("z" + std::to_string(i % zones));
   return all;
@@ -108,26 +108,26 @@
 
 }  // namespace
 
-Test(crashing_request, is_not_sent_on_after_three_engines_have_ended_under_it) {
+Test(crashing_request, is_not_retried_after_crashing_three_engines) {
   RelayFixture site;
   add_engines(site);
-  EndingEngines engines(site);
-  const auto seen = try_again_and_again(site, engines);
-  cr_assert_leq(engines.ended.size(), kMostEnded, "%zu engines ended", engines.ended.size());
-  cr_assert_leq(engines.sends(), kMostEnded);
-  cr_assert_eq(seen->status, 429, "what has not run is refused as such");
-  cr_assert_not(seen->headers.get("Retry-After").empty());
-  cr_assert_not(seen->body.empty(), "the caller is told what to do");
+  CrashingEngines engines(site);
+  const auto reply = retry_repeatedly(site, engines);
+  cr_assert_leq(engines.crashed.size(), kMaxCrashes, "%zu engines ended", engines.crashed.size());
+  cr_assert_leq(engines.send_count(), kMaxCrashes);
+  cr_assert_eq(reply->status, 429, "what has not run is refused as such");
+  cr_assert_not(reply->headers.get("Retry-After").empty());
+  cr_assert_not(reply->body.empty(), "the caller is told what to do");
 }
 
-Test(crashing_request, is_not_cleared_by_the_next_start_of_an_engine) {
+Test(crashing_request, stays_suspect_after_an_engine_restarts) {
   // The next start has the address of the one that ended, and refuses what is meant for that one.
   RelayFixture site;
   for (const char* id : {"first", "second"}) site.add_engine(id, "plain");
-  EndingEngines engines(site);
+  CrashingEngines engines(site);
   site.request(kPath, {{"id", "t1"}}, "GET", "");
-  engines.end_all();
-  cr_assert_eq(engines.ended.size(), 2U);
+  engines.crash_all();
+  cr_assert_eq(engines.crashed.size(), 2U);
   site.runtime.advance(100ms);
   const std::size_t sent = site.http.count();
   site.request("/safe/other", {}, "GET", "");
@@ -135,68 +135,69 @@
   site.http.answer(sent + 1, 421, {{"refused", "1"}}, "");
   add_engines(site);
   site.runtime.advance(100ms);
-  try_again_and_again(site, engines);
-  cr_assert_leq(engines.ended.size(), kMostEnded, "%zu engines ended", engines.ended.size());
+  retry_repeatedly(site, engines);
+  cr_assert_leq(engines.crashed.size(), kMaxCrashes, "%zu engines ended", engines.crashed.size());
 }
 
-Test(crashing_request, is_held_back_by_nodes_that_never_saw_it) {
+Test(crashing_request, is_quarantined_by_nodes_that_never_received_it) {
   for (const auto& [nodes, zones] : {std::pair{8, 1}, std::pair{30, 3}}) {
     ExchangingFleet fleet(static_cast<std::size_t>(nodes), static_cast<std::size_t>(zones));
     for (auto& site : fleet.sites) add_engines(*site);
-    let_pass(fleet, 4s);
-    EndingEngines engines(*fleet.sites[0]);
-    try_again_and_again(*fleet.sites[0], engines);
-    let_pass(fleet, 500ms);
+    advance_all(fleet, 4s);
+    CrashingEngines engines(*fleet.sites[0]);
+    retry_repeatedly(*fleet.sites[0], engines);
+    advance_all(fleet, 500ms);
     for (std::size_t i = 1; i < fleet.sites.size(); ++i) {
-      const auto seen = fleet.sites[i]->request(kPath, {{"id", "other"}}, "GET", "");
-      cr_assert_eq(EndingEngines(*fleet.sites[i]).sends(), 0, "node %zu of %d", i, nodes);
-      cr_assert_eq(seen->status, 429);
+      const auto reply = fleet.sites[i]->request(kPath, {{"id", "other"}}, "GET", "");
+      cr_assert_eq(CrashingEngines(*fleet.sites[i]).send_count(), 0, "node %zu of %d", i, nodes);
+      cr_assert_eq(reply->status, 429);
     }
   }
 }
 
-Test(crashing_request, ends_one_engine_more_at_most_when_it_comes_from_everywhere) {
+Test(crashing_request, crashes_at_most_one_more_engine_from_changing_addresses) {
   // Seen: each coming was from another address, and only the caller's own retry from the same one.
   RelayFixture site;
   add_engines(site);
-  EndingEngines engines(site);
-  for (int i = 0; i < kTries; ++i) {
+  CrashingEngines engines(site);
+  for (int i = 0; i < kAttempts; ++i) {
     site.caller_address = "10.0.0." + std::to_string(i / 2);
     site.request(kPath, {{"id", "t" + std::to_string(i)}}, "GET", "");
-    engines.end_all();
+    engines.crash_all();
     site.runtime.advance(100ms);
   }
-  cr_assert_leq(engines.ended.size(), kMostEnded + 1, "%zu engines ended", engines.ended.size());
+  cr_assert_leq(engines.crashed.size(), kMaxCrashes + 1, "%zu engines ended",
+                engines.crashed.size());
 }
 
-Test(crashing_request, does_not_get_the_same_of_another_caller_refused) {
+Test(crashing_request, does_not_block_the_same_request_of_another_caller) {
   RelayFixture site;
   add_engines(site);
-  EndingEngines engines(site);
-  try_again_and_again(site, engines);
+  CrashingEngines engines(site);
+  retry_repeatedly(site, engines);
   site.caller_address = "10.0.0.2";
   const std::size_t sent = site.http.count();
-  const auto seen = site.request(kPath, {}, "GET", "");
+  const auto reply = site.request(kPath, {}, "GET", "");
   cr_assert_eq(site.http.count(), sent + 1, "nothing is known against this one");
   site.http.answer(sent, 200, RelayFixture::sealed_headers(), "whole");
-  cr_assert_eq(seen->status, 200);
+  cr_assert_eq(reply->status, 200);
   site.caller_address = "10.0.0.1";
   site.request(kPath, {}, "GET", "");
   cr_assert_eq(site.http.count(), sent + 2, "what runs to its end is cleared, whoever sent it");
 }
 
-Test(crashing_request, stays_held_back_when_all_nodes_start_again) {
+Test(crashing_request, stays_quarantined_after_a_fleet_restart) {
   ExchangingFleet fleet(8);
   for (auto& site : fleet.sites) add_engines(*site);
-  let_pass(fleet, 4s);
-  EndingEngines engines(*fleet.sites[0]);
-  try_again_and_again(*fleet.sites[0], engines);
-  let_pass(fleet, 2s);
-  fleet.start_all_anew(settings_of(8, 1));
+  advance_all(fleet, 4s);
+  CrashingEngines engines(*fleet.sites[0]);
+  retry_repeatedly(*fleet.sites[0], engines);
+  advance_all(fleet, 2s);
+  fleet.start_all_anew(zone_settings(8, 1));
   for (auto& site : fleet.sites) add_engines(*site);
-  let_pass(fleet, 2s);
+  advance_all(fleet, 2s);
   for (auto& site : fleet.sites) {
     site->request(kPath, {{"id", "later"}}, "GET", "");
-    cr_assert_eq(EndingEngines(*site).sends(), 0);
+    cr_assert_eq(CrashingEngines(*site).send_count(), 0);
   }
 }
--- a/tests/relay/event_splitter_test.cpp
+++ b/tests/relay/event_splitter_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace shuntbank::relay;
 
-Test(event_splitter, gives_the_same_events_however_the_bytes_are_cut) {
+Test(event_splitter, yields_the_same_events_for_any_chunking) {
   SHUNTBANK_PROPERTY("whole events, in order, byte for byte", [] {
     const auto lengths = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 40));
     std::string stream;
@@ -32,7 +32,7 @@
   });
 }
 
-Test(event_splitter, refuses_an_event_without_end) {
+Test(event_splitter, rejects_an_oversized_event) {
   EventSplitter splitter;
   const std::string piece(EventSplitter::kMaxEventSize, 'x');
   cr_assert(splitter.feed(piece, [](const RawEvent&) {}));
--- a/tests/relay/relay_process_test.cpp
+++ b/tests/relay/relay_process_test.cpp
@@ -26,11 +26,11 @@
 }
 
 /// A process before one engine, which answers when the test says so.
-struct Running {
-  Running()
+struct RunningProcess {
+  RunningProcess()
       : store(runtime),
         engine(loop, engine_settings(),
-               [this](const HttpRequest&, const auto& responder) { held = responder; }),
+               [this](const HttpRequest&, const auto& responder) { engine_responder = responder; }),
         client(loop, {}) {
     relay::RelaySettings settings;
     settings.node = "n1";
@@ -42,7 +42,7 @@
     store.put("engines", "e1", {{"address", format_endpoint(engine.local_endpoint())}});
     const relay::PlatformPorts platform{store, codec, dialect};
     process = std::make_unique<relay::RelayProcess>(loop, runtime, platform, settings, addresses);
-    while (ask(addresses.ready, "/").status != 200) continue;
+    while (get(addresses.ready, "/").status != 200) continue;
   }
 
   static Http1ServerSettings engine_settings() {
@@ -54,16 +54,16 @@
   struct Answer {
     int status = 0;
     std::string body;
-    bool over = false;
+    bool done = false;
   };
 
-  std::shared_ptr<Answer> begin(const std::string& address, const std::string& path) {
+  std::shared_ptr<Answer> start_request(const std::string& address, const std::string& path) {
     OutgoingRequest request;
     request.url = "http://" + address + path;
     request.headers = {{"Host", "site"}, {"id", "r1"}};
     auto answer = std::make_shared<Answer>();
     client.fetch(std::move(request), [answer](const tl::expected<HttpReply, TransferError>& reply) {
-      answer->over = true;
+      answer->done = true;
       if (!reply) return;
       answer->status = reply->status;
       answer->body = reply->body;
@@ -71,14 +71,14 @@
     return answer;
   }
 
-  Answer ask(const std::string& address, const std::string& path) {
-    const auto answer = begin(address, path);
-    while (!answer->over) loop.run_one();
+  Answer get(const std::string& address, const std::string& path) {
+    const auto answer = start_request(address, path);
+    while (!answer->done) loop.run_one();
     return *answer;
   }
 
   void wait_for_engine() {
-    while (!held) loop.run_one();
+    while (!engine_responder) loop.run_one();
   }
 
   asio::io_context loop;
@@ -87,7 +87,7 @@
   TestDialect dialect;
   TestCodec codec;
   Http1Server engine;
-  std::shared_ptr<ConnectionResponder> held;
+  std::shared_ptr<ConnectionResponder> engine_responder;
   PooledHttpClient client;
   relay::RelayAddresses addresses;
   std::unique_ptr<relay::RelayProcess> process;
@@ -96,41 +96,41 @@
 }  // namespace
 
 Test(relay_process, serves_a_request_through_its_sockets) {
-  Running running;
-  const auto answer = running.begin(running.addresses.callers, "/safe/a");
+  RunningProcess running;
+  const auto answer = running.start_request(running.addresses.callers, "/safe/a");
   running.wait_for_engine();
-  running.held->respond({200, RelayFixture::sealed_headers(), "whole"});
-  while (!answer->over) running.loop.run_one();
+  running.engine_responder->respond({200, RelayFixture::sealed_headers(), "whole"});
+  while (!answer->done) running.loop.run_one();
   cr_assert_eq(answer->status, 200);
   cr_assert_eq(answer->body, "whole");
 }
 
-Test(relay_process, ends_what_it_has_when_it_stops_and_takes_nothing_new_late) {
+Test(relay_process, finishes_requests_in_flight_on_stop_and_rejects_late_ones) {
   // Seen on partida trouble-2, seed 495017447256: a request taken long after the signal was lost.
-  Running running;
-  const auto answer = running.begin(running.addresses.callers, "/safe/a");
+  RunningProcess running;
+  const auto answer = running.start_request(running.addresses.callers, "/safe/a");
   running.wait_for_engine();
   bool stopped = false;
   running.process->stop([&] { stopped = true; });
-  cr_assert_eq(running.ask(running.addresses.ready, "/").status, 503);
-  while (running.ask(running.addresses.callers, "/nowhere").status != 0) continue;
+  cr_assert_eq(running.get(running.addresses.ready, "/").status, 503);
+  while (running.get(running.addresses.callers, "/nowhere").status != 0) continue;
   cr_assert_not(stopped, "a request is under way");
-  cr_assert_not(answer->over);
-  running.held->respond({200, RelayFixture::sealed_headers(), "whole"});
-  while (!answer->over) running.loop.run_one();
+  cr_assert_not(answer->done);
+  running.engine_responder->respond({200, RelayFixture::sealed_headers(), "whole"});
+  while (!answer->done) running.loop.run_one();
   cr_assert_eq(answer->status, 200, "what was taken is answered");
   while (!stopped) running.loop.run_one();
 }
 
-Test(relay_process, serves_metrics_beside_readiness) {
-  Running running;
-  const auto metrics = running.ask(running.addresses.ready, "/metrics");
+Test(relay_process, serves_metrics_at_the_readiness_address) {
+  RunningProcess running;
+  const auto metrics = running.get(running.addresses.ready, "/metrics");
   cr_assert_neq(metrics.body.find("shuntbank_relay_state{name=\"config_version\"} 1"),
                 std::string::npos, "%s", metrics.body.c_str());
 }
 
-Test(relay_process, reads_the_latest_itself_where_it_has_no_exchange) {
+Test(relay_process, reads_the_latest_state_itself_without_a_load_exchange) {
   // Without an address for peers nobody gives hints, and answers that lag would be all it ever has.
-  Running running;
+  RunningProcess running;
   cr_assert_gt(running.store.latest_calls, 0);
 }
--- a/tests/relay/relay_session_test.cpp
+++ b/tests/relay/relay_session_test.cpp
@@ -12,8 +12,8 @@
 Test(relay_session, passes_method_target_and_body_unchanged) {
   RelayFixture site;
   site.add_engine("e1", "plain");
-  const auto seen = site.request("/once/a%2Fb?x=%20&y", {{"deadline", "900"}, {"own", "kept"}},
-                                 "PUT", std::string("a\0b", 3));
+  const auto reply = site.request("/once/a%2Fb?x=%20&y", {{"deadline", "900"}, {"own", "kept"}},
+                                  "PUT", std::string("a\0b", 3));
   cr_assert_eq(site.http.count(), 1);
   const OutgoingRequest& sent = site.http.at(0).request;
   cr_assert_eq(sent.method, "PUT");
@@ -23,12 +23,12 @@
   cr_assert_eq(sent.headers.get("for-engine"), "e1");
   cr_assert_eq(sent.headers.get("deadline"), "900");
   site.http.answer(0, 201, RelayFixture::sealed_headers(), "made");
-  cr_assert_eq(seen->status, 201);
-  cr_assert_eq(seen->body, "made");
-  cr_assert_eq(seen->headers.get("seal"), "s");
+  cr_assert_eq(reply->status, 201);
+  cr_assert_eq(reply->body, "made");
+  cr_assert_eq(reply->headers.get("seal"), "s");
 }
 
-Test(relay_session, removes_what_only_the_system_may_set_and_what_concerns_one_connection) {
+Test(relay_session, strips_reserved_and_hop_by_hop_headers) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.request("/once/a", {{"for-engine", "other"},
@@ -48,70 +48,70 @@
 Test(relay_session, refuses_a_request_with_two_ids) {
   RelayFixture site;
   site.add_engine("e1", "plain");
-  const auto seen = site.request("/once/a", {{"id", "r1"}, {"id", "r2"}});
-  cr_assert_eq(seen->status, 400);
+  const auto reply = site.request("/once/a", {{"id", "r1"}, {"id", "r2"}});
+  cr_assert_eq(reply->status, 400);
   cr_assert_eq(site.http.count(), 0);
 }
 
-Test(relay_session, sends_what_may_run_once_nowhere_else_after_an_uncertain_end) {
+Test(relay_session, does_not_retry_an_unsafe_request_after_an_uncertain_failure) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.add_engine("e2", "plain");
-  const auto seen = site.request("/once/a");
+  const auto reply = site.request("/once/a");
   site.http.fail(0, TransferFailure::kUncertain);
   cr_assert_eq(site.http.count(), 1);
-  cr_assert_eq(seen->status, 502);
+  cr_assert_eq(reply->status, 502);
 }
 
-Test(relay_session, tries_elsewhere_what_was_not_sent_or_was_refused) {
+Test(relay_session, retries_elsewhere_when_not_sent_or_refused) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.add_engine("e2", "plain");
   site.add_engine("e3", "plain");
-  const auto seen = site.request("/once/a");
+  const auto reply = site.request("/once/a");
   site.http.fail(0, TransferFailure::kNothingSent);
   site.http.answer(1, 503, {{"id", "r1"}, {"refused", "1"}}, "");
   cr_assert_eq(site.http.count(), 3);
   cr_assert_neq(site.http.at(2).request.headers.get("for-engine"),
                 site.http.at(0).request.headers.get("for-engine"));
   site.http.answer(2, 200, RelayFixture::sealed_headers(), "whole");
-  cr_assert_eq(seen->status, 200);
+  cr_assert_eq(reply->status, 200);
 }
 
-Test(relay_session, tells_a_refused_caller_when_to_come_back) {
+Test(relay_session, sends_retry_after_with_a_refusal) {
   RelayFixture site;
   site.add_engine("e1", "plain");
-  const auto seen = site.request("/once/a");
+  const auto reply = site.request("/once/a");
   site.http.answer(0, 503, {{"id", "r1"}, {"refused", "1"}}, "");
-  cr_assert_eq(seen->status, 503);
-  cr_assert_not(seen->headers.get("Retry-After").empty());
+  cr_assert_eq(reply->status, 503);
+  cr_assert_not(reply->headers.get("Retry-After").empty());
 }
 
-Test(relay_session, repeats_a_safe_request_after_an_engines_own_failure) {
+Test(relay_session, retries_a_safe_request_after_an_engine_error) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.add_engine("e2", "plain");
-  const auto seen = site.request("/safe/a", {}, "GET", "");
+  const auto reply = site.request("/safe/a", {}, "GET", "");
   site.http.answer(0, 500, RelayFixture::sealed_headers(), "first failure");
   site.http.answer(1, 500, RelayFixture::sealed_headers(), "second failure");
   cr_assert_eq(site.http.count(), 2, "no more engines than the route allows");
-  cr_assert_eq(seen->status, 500);
-  cr_assert_eq(seen->body, "second failure");
+  cr_assert_eq(reply->status, 500);
+  cr_assert_eq(reply->body, "second failure");
 }
 
-Test(relay_session, does_not_take_a_success_without_the_engines_seal_or_id) {
+Test(relay_session, rejects_a_success_without_seal_or_id) {
   for (const HttpHeaders& headers :
        {HttpHeaders{{"id", "r1"}}, HttpHeaders{{"seal", "s"}}, HttpHeaders{}}) {
     RelayFixture site;
     site.add_engine("e1", "plain");
-    const auto seen = site.request("/once/a");
+    const auto reply = site.request("/once/a");
     site.http.answer(0, 200, headers, "bytes");
-    cr_assert_eq(seen->status, 502);
-    cr_assert(seen->body.empty());
+    cr_assert_eq(reply->status, 502);
+    cr_assert(reply->body.empty());
   }
 }
 
-Test(relay_session, knows_which_answers_belong_to_it) {
+Test(relay_session, matches_answers_by_request_id) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.request("/once/a");
@@ -120,7 +120,7 @@
   cr_assert_not(belongs(200, RelayFixture::sealed_headers("r0")));
 }
 
-Test(relay_session, cancels_at_once_when_the_caller_leaves) {
+Test(relay_session, cancels_at_once_when_the_caller_disconnects) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.request("/once/a");
@@ -129,18 +129,18 @@
   cr_assert_eq(site.node->in_flight(), 0);
 }
 
-Test(relay_session, ends_at_the_routes_timeout_with_no_promise_once_it_was_sent) {
+Test(relay_session, answers_504_at_the_route_timeout_once_sent) {
   RelayFixture site;
   site.add_engine("e1", "plain");
-  const auto seen = site.request("/once/a", {{"deadline", "60000"}});
+  const auto reply = site.request("/once/a", {{"deadline", "60000"}});
   cr_assert_eq(site.http.at(0).request.headers.get("deadline"), "3000",
                "an engine gets no more time than the route has");
   site.runtime.advance(3s);
   cr_assert(site.http.at(0).cancelled);
-  cr_assert_eq(seen->status, 504);
+  cr_assert_eq(reply->status, 504);
 }
 
-Test(relay_session, hands_on_what_is_left_of_the_time) {
+Test(relay_session, forwards_the_remaining_deadline) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.add_engine("e2", "plain");
@@ -150,11 +150,11 @@
   cr_assert_eq(site.http.at(1).request.headers.get("deadline"), "1300");
 }
 
-Test(relay_session, reads_a_long_prompt_apart_and_takes_it_up_by_its_handle) {
+Test(relay_session, prefills_a_long_prompt_remotely_and_decodes_by_its_handle) {
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
-  const auto seen = site.request("/stream/a", {{"tokens", "20000"}});
+  const auto reply = site.request("/stream/a", {{"tokens", "20000"}});
   cr_assert_eq(site.http.at(0).request.headers.get("for-engine"), "p");
   cr_assert_eq(site.http.at(0).request.headers.get("stage"), "read");
   site.http.answer(0, 200, {{"id", "r1"}}, "h1");
@@ -162,12 +162,12 @@
   cr_assert_eq(site.http.at(1).request.headers.get("source"), "p:80/h1");
   cr_assert_eq(site.http.at(1).request.headers.count("stage"), 0);
   site.http.answer(1, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
-  cr_assert_eq(seen->body, "id: 1\ndata: a\n\n");
-  cr_assert(seen->finished);
+  cr_assert_eq(reply->body, "id: 1\ndata: a\n\n");
+  cr_assert(reply->finished);
   cr_assert_eq(site.http.count(), 2, "a handle that was taken is not freed");
 }
 
-Test(relay_session, frees_the_handle_that_nobody_took_up) {
+Test(relay_session, releases_an_unused_handle) {
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
@@ -179,16 +179,16 @@
   cr_assert_eq(site.http.at(2).request.url, "http://p:80/handle/h1");
 }
 
-Test(relay_session, promises_not_run_when_only_the_prompt_was_read) {
+Test(relay_session, answers_503_when_only_the_prefill_ran) {
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
-  const auto seen = site.request("/stream/a", {{"tokens", "20000"}});
+  const auto reply = site.request("/stream/a", {{"tokens", "20000"}});
   site.runtime.advance(3s);
-  cr_assert_eq(seen->status, 503);
+  cr_assert_eq(reply->status, 503);
 }
 
-Test(relay_session, reads_at_the_decode_engine_when_the_handle_is_gone) {
+Test(relay_session, prefills_at_the_decode_engine_when_the_handle_is_gone) {
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
@@ -199,23 +199,23 @@
   cr_assert_eq(site.http.at(2).request.headers.count("source"), 0);
 }
 
-Test(relay_session, breaks_a_stream_off_that_ends_inside_an_event) {
+Test(relay_session, aborts_a_stream_that_ends_inside_an_event) {
   RelayFixture site;
   site.add_engine("d", "model", EngineStage::kDecode);
-  const auto seen = site.request("/stream/a", {{"tokens", "100"}});
+  const auto reply = site.request("/stream/a", {{"tokens", "100"}});
   site.http.begin(0, 200, RelayFixture::sealed_headers());
   site.http.piece(0, "id: 1\ndata: a\n\nid: 2\nda");
   site.http.finish(0);
-  cr_assert_eq(seen->body, "id: 1\ndata: a\n\n", "only whole events go on");
-  cr_assert(seen->aborted);
-  cr_assert_not(seen->finished);
+  cr_assert_eq(reply->body, "id: 1\ndata: a\n\n", "only whole events go on");
+  cr_assert(reply->aborted);
+  cr_assert_not(reply->finished);
 }
 
-Test(relay_session, takes_a_resumable_stream_up_behind_its_last_whole_event) {
+Test(relay_session, resumes_a_stream_after_its_last_complete_event) {
   RelayFixture site;
   site.add_engine("d1", "model", EngineStage::kDecode);
   site.add_engine("d2", "model", EngineStage::kDecode);
-  const auto seen = site.request("/resumable/a", {{"tokens", "100"}});
+  const auto reply = site.request("/resumable/a", {{"tokens", "100"}});
   site.http.begin(0, 200, {{"id", "r1"}, {"seal", "first"}});
   site.http.piece(0, "id: 1\ndata: a\n\nid: 2\nda");
   site.http.fail(0, TransferFailure::kUncertain);
@@ -224,55 +224,55 @@
   cr_assert_neq(site.http.at(1).request.headers.get("for-engine"),
                 site.http.at(0).request.headers.get("for-engine"));
   site.http.answer(1, 200, {{"id", "r1"}, {"seal", "second"}}, "id: 2\ndata: b\n\n");
-  cr_assert_eq(seen->body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  cr_assert_eq(seen->headers.get("seal"), "first");
-  cr_assert_eq(seen->head_count, 1);
-  cr_assert(seen->finished);
+  cr_assert_eq(reply->body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+  cr_assert_eq(reply->headers.get("seal"), "first");
+  cr_assert_eq(reply->head_count, 1);
+  cr_assert(reply->finished);
 }
 
-Test(relay_session, joins_no_stream_that_comes_before_its_place) {
+Test(relay_session, aborts_a_resumed_stream_that_repeats_events) {
   RelayFixture site;
   site.add_engine("d1", "model", EngineStage::kDecode);
   site.add_engine("d2", "model", EngineStage::kDecode);
-  const auto seen = site.request("/resumable/a", {{"tokens", "100"}});
+  const auto reply = site.request("/resumable/a", {{"tokens", "100"}});
   site.http.begin(0, 200, RelayFixture::sealed_headers());
   site.http.piece(0, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   site.http.fail(0, TransferFailure::kUncertain);
   site.http.answer(1, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
-  cr_assert_eq(seen->body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  cr_assert(seen->aborted);
+  cr_assert_eq(reply->body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+  cr_assert(reply->aborted);
 }
 
-Test(relay_session, spends_the_budget_for_what_follows_a_refused_prompt) {
+Test(relay_session, charges_sends_after_a_refused_prefill_to_the_budget) {
   // Once 358 extra sends where 186 were allowed: what followed refused prompts was not counted.
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
-  int sent_again = 0;
-  int read_directly = 0;
+  int retries = 0;
+  int direct_sends = 0;
   for (int i = 0; i < 60; ++i) {
     const std::size_t first = site.http.count();
-    const auto seen = site.request("/stream/a", {{"tokens", "20000"}});
-    const bool apart = !site.http.at(first).request.headers.get("stage").empty();
-    const bool fails = i % 2 == 0;  // The others are refused.
-    if (apart && fails) site.http.answer(first, 500, {{"id", "r1"}}, "");
-    if (apart && !fails) site.http.answer(first, 503, {{"id", "r1"}, {"refused", "1"}}, "");
-    const bool again = site.http.count() > first + 1;
-    sent_again += again ? 1 : 0;
-    read_directly += apart ? 0 : 1;
-    if (apart && !again) cr_assert_eq(seen->status, 503);
+    const auto reply = site.request("/stream/a", {{"tokens", "20000"}});
+    const bool remote = !site.http.at(first).request.headers.get("stage").empty();
+    const bool engine_error = i % 2 == 0;  // The others are refused.
+    if (remote && engine_error) site.http.answer(first, 500, {{"id", "r1"}}, "");
+    if (remote && !engine_error) site.http.answer(first, 503, {{"id", "r1"}, {"refused", "1"}}, "");
+    const bool retried = site.http.count() > first + 1;
+    retries += retried ? 1 : 0;
+    direct_sends += remote ? 0 : 1;
+    if (remote && !retried) cr_assert_eq(reply->status, 503);
     const std::size_t last = site.http.count() - 1;
-    if (!apart || again)
+    if (!remote || retried)
       site.http.answer(last, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
     site.runtime.advance(10ms);
   }
   // The share of one of 8 nodes: 80 / 8 and half of a fifth of its own 60 requests.
-  cr_assert_leq(sent_again, 10 + 6);
-  cr_assert_gt(sent_again, 0);
-  cr_assert_gt(read_directly, 30, "what has just refused gets no prompt once the budget is spent");
+  cr_assert_leq(retries, 10 + 6);
+  cr_assert_gt(retries, 0);
+  cr_assert_gt(direct_sends, 30, "what has just refused gets no prompt once the budget is spent");
 }
 
-Test(relay_session, reads_prompts_apart_without_budget_and_sends_again_within_it) {
+Test(relay_session, prefills_remotely_without_budget_and_retries_within_it) {
   // An overload at 66 nodes broke the bound: while one answer was awaited, others passed the check.
   // Later each prompt under way had budget set aside, and others waited for it: a trial lost 0.02
   // of the worth of the days with trouble.
@@ -281,19 +281,19 @@
   site.add_engine("d", "model", EngineStage::kDecode);
   constexpr std::size_t kRequests = 30;
   for (std::size_t i = 0; i < kRequests; ++i) site.request("/stream/a", {{"tokens", "20000"}});
-  std::size_t apart = 0;
+  std::size_t remote = 0;
   for (std::size_t i = 0; i < kRequests; ++i) {
     if (site.http.at(i).request.headers.get("stage").empty()) continue;
-    ++apart;
+    ++remote;
     site.http.answer(i, 503, {{"id", "r1"}, {"refused", "1"}}, "");
   }
-  cr_assert_gt(apart, 20);
+  cr_assert_gt(remote, 20);
   // The share of one of 8 nodes: 80 / 8 and half of a fifth of its own 30 requests.
   cr_assert_leq(site.http.count(), kRequests + 10 + 3);
   cr_assert_gt(site.http.count(), kRequests);
 }
 
-Test(relay_session, takes_a_prompt_up_only_within_the_budget_once_an_engine_has_refused) {
+Test(relay_session, decodes_only_within_the_budget_after_a_refusal) {
   RelayFixture site;
   site.settings.retry_budget.slack = 0;
   site.settings.retry_budget.ratio = 2;
@@ -312,7 +312,7 @@
   cr_assert_eq(site.http.at(4).request.url, "http://p:80/handle/h1");
 }
 
-Test(relay_session, counts_what_the_retry_budget_paid_for_and_what_it_forbade) {
+Test(relay_session, counts_extra_sends_and_exhausted_budgets) {
   RelayFixture site;
   for (const char* id : {"a", "b", "c", "d"}) site.add_engine(id, "plain", EngineStage::kNone);
   for (std::size_t i = 0; i < 30; ++i) {
@@ -327,7 +327,7 @@
   cr_assert(text.find("budget_exhausted_total{" + service + "} 17") != std::string::npos);
 }
 
-Test(relay_session, gives_what_cannot_be_in_time_the_least_urgency) {
+Test(relay_session, sends_late_requests_with_the_lowest_urgency) {
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
--- a/tests/relay/stream_progress_test.cpp
+++ b/tests/relay/stream_progress_test.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Test(stream_progress, takes_no_event_that_comes_before_its_place) {
+Test(stream_progress, rejects_events_up_to_the_resume_position) {
   StreamProgress stream;
   stream.resume_after(12);
   cr_assert_not(stream.in_order(event(12, "12")));
@@ -28,7 +28,7 @@
   cr_assert_not(stream.in_order(event(19, "19")));
 }
 
-Test(stream_progress, measures_first_event_and_pauses) {
+Test(stream_progress, measures_first_event_delay_and_gaps) {
   StreamProgress stream;
   cr_assert_eq(stream.first_event_delay(kNow).count(), 0);
   cr_assert_not(stream.on_forwarded(kNow + 5ms, {}).has_value());
