--- a/tests/relay/crashing_request_test.cpp
+++ b/tests/relay/crashing_request_test.cpp
@@ -1,12 +1,5 @@
-// Seen: engines ended by twos, 0.1 to 0.4 s after one request had come, and again each time its
-// caller tried anew, at whatever node; back after 3 s, they ended again. 46 engines in a day ended
-// under two requests, with all that ran there.
-// How it came about: a try sends a request on to as many engines as its route allows. Each may end
-// under it, and the next try begins as if nothing had been.
-// Cause: what a request has met was remembered by its try alone. A bound on the whole fleet was
-// kept by each life of each session for itself. Proved by: the logs of all nodes (two engines a
-// try, never more; tries that follow each other at other nodes), and by these tests, in which
-// nothing but the request ends engines.
+// Guards against a request that crashes engine after engine: each retry by the caller, at any node,
+// crashed as many engines as its route allows, because no node remembered earlier crashes.
 #include <criterion/criterion.h>
 
 #include <set>
@@ -28,11 +21,11 @@
   for (std::size_t i = 0; i < kEngines; ++i) site.add_engine("e" + std::to_string(i), "plain");
 }
 
-/// Engines that end under the requests they are sent, as one node meets them.
+/// Engines that crash under the requests they are sent, as seen by one node.
 struct CrashingEngines {
   explicit CrashingEngines(RelayFixture& fixture) : site(fixture) {}
 
-  /// Ends the engine that has the transfer; whatever else is sent there finds nobody.
+  /// Crashes the engine that has the transfer; further connections to it are refused.
   void crash_under(std::size_t transfer) {
     const OutgoingRequest& request = this->site.http.at(transfer).request;
     this->crashed.insert(std::string(request.headers.get("for-engine")));
@@ -40,7 +33,7 @@
     this->refuse_probes();
   }
 
-  /// Lets all requests of callers end the engines that have them. @return engines ended so far.
+  /// Crashes all engines that have a caller's request. @return number of engines crashed so far.
   std::size_t crash_all() {
     for (std::size_t i = 0; i < this->site.http.count(); ++i) {
       if (this->is_open(i) && this->is_caller_request(i)) this->crash_under(i);
@@ -48,7 +41,7 @@
     return this->crashed.size();
   }
 
-  /// @return times that requests of callers were sent.
+  /// @return how often callers' requests were sent to engines.
   std::size_t send_count() const {
     std::size_t count = 0;
     for (std::size_t i = 0; i < this->site.http.count(); ++i) count += this->is_caller_request(i);
@@ -67,7 +60,7 @@
     return this->site.http.at(transfer).request.url.find(kPath) != std::string::npos;
   }
 
-  /// What a node asks of an engine that has ended.
+  /// Refuses the connections of liveness checks to crashed engines.
   void refuse_probes() {
     for (std::size_t i = 0; i < this->site.http.count(); ++i) {
       if (!this->is_open(i) || this->is_caller_request(i)) continue;
@@ -84,7 +77,7 @@
   RelayFixture& site;
 };
 
-/// A caller tries again and again, each time after all that it has sent has ended its engine.
+/// Sends a caller's retries, each after the previous one has crashed its engines.
 std::shared_ptr<RecordedReply> retry_repeatedly(RelayFixture& site, CrashingEngines& engines) {
   std::shared_ptr<RecordedReply> reply;
   for (int i = 0; i < kAttempts; ++i) {
@@ -113,15 +106,15 @@
   add_engines(site);
   CrashingEngines engines(site);
   const auto reply = retry_repeatedly(site, engines);
-  cr_assert_leq(engines.crashed.size(), kMaxCrashes, "%zu engines ended", engines.crashed.size());
+  cr_assert_leq(engines.crashed.size(), kMaxCrashes, "%zu engines crashed", engines.crashed.size());
   cr_assert_leq(engines.send_count(), kMaxCrashes);
-  cr_assert_eq(reply->status, 429, "what has not run is refused as such");
+  cr_assert_eq(reply->status, 429, "the status shows that the request was not run");
   cr_assert_not(reply->headers.get("Retry-After").empty());
   cr_assert_not(reply->body.empty(), "the caller is told what to do");
 }
 
 Test(crashing_request, stays_suspect_after_an_engine_restarts) {
-  // The next start has the address of the one that ended, and refuses what is meant for that one.
+  // The next incarnation has the same address and answers 421 to requests for the crashed one.
   RelayFixture site;
   for (const char* id : {"first", "second"}) site.add_engine(id, "plain");
   CrashingEngines engines(site);
@@ -136,7 +129,7 @@
   add_engines(site);
   site.runtime.advance(100ms);
   retry_repeatedly(site, engines);
-  cr_assert_leq(engines.crashed.size(), kMaxCrashes, "%zu engines ended", engines.crashed.size());
+  cr_assert_leq(engines.crashed.size(), kMaxCrashes, "%zu engines crashed", engines.crashed.size());
 }
 
 Test(crashing_request, is_quarantined_by_nodes_that_never_received_it) {
@@ -156,7 +149,7 @@
 }
 
 Test(crashing_request, crashes_at_most_one_more_engine_from_changing_addresses) {
-  // Seen: each coming was from another address, and only the caller's own retry from the same one.
+  // Only every second attempt comes from the same address as the previous one.
   RelayFixture site;
   add_engines(site);
   CrashingEngines engines(site);
@@ -166,7 +159,7 @@
     engines.crash_all();
     site.runtime.advance(100ms);
   }
-  cr_assert_leq(engines.crashed.size(), kMaxCrashes + 1, "%zu engines ended",
+  cr_assert_leq(engines.crashed.size(), kMaxCrashes + 1, "%zu engines crashed",
                 engines.crashed.size());
 }
 
@@ -178,12 +171,12 @@
   site.caller_address = "10.0.0.2";
   const std::size_t sent = site.http.count();
   const auto reply = site.request(kPath, {}, "GET", "");
-  cr_assert_eq(site.http.count(), sent + 1, "nothing is known against this one");
+  cr_assert_eq(site.http.count(), sent + 1, "this caller is not suspect");
   site.http.answer(sent, 200, RelayFixture::sealed_headers(), "whole");
   cr_assert_eq(reply->status, 200);
   site.caller_address = "10.0.0.1";
   site.request(kPath, {}, "GET", "");
-  cr_assert_eq(site.http.count(), sent + 2, "what runs to its end is cleared, whoever sent it");
+  cr_assert_eq(site.http.count(), sent + 2, "a complete answer clears the request for all callers");
 }
 
 Test(crashing_request, stays_quarantined_after_a_fleet_restart) {
--- a/tests/relay/relay_node_test.cpp
+++ b/tests/relay/relay_node_test.cpp
@@ -97,9 +97,8 @@
 }
 
 Test(relay_node, spends_no_slack_before_the_fleet_is_known) {
-  // A process took a fleet of 66 for one of 8 until it had read the list of nodes, and with it 21
-  // extra sends in ten seconds for its own where 2 are. Sixty that start at once have 1,100 too
-  // many.
+  // A process that assumes too small a fleet spends more than its share; many that start together
+  // exceed the fleet's budget.
   RelayFixture site;
   site.restart();
   site.runtime.advance(counted_for(site.settings.retry_budget));
@@ -109,8 +108,7 @@
 }
 
 Test(relay_node, spends_no_slack_in_the_first_window_after_a_restart) {
-  // A process that starts again has forgotten what it spent. On a day like the incident's, with 33
-  // nodes and then 40 killed, the fleet sent 3,177 extra requests where 3,113 were allowed.
+  // A restarted process does not know what its previous run spent in the same window.
   RelayFixture site;
   site.restart();
   site.node->set_fleet({7, 0});
--- a/tests/relay/relay_process_test.cpp
+++ b/tests/relay/relay_process_test.cpp
@@ -1,4 +1,4 @@
-// A relay process on real sockets, between a caller and an engine of the test's own.
+// Tests a relay process on real sockets, between a caller and an engine in the same process.
 
 #include "relay/relay_process.hpp"
 
@@ -25,7 +25,7 @@
   return format_endpoint(chosen.local_endpoint());
 }
 
-/// A process before one engine, which answers when the test says so.
+/// A process with one engine, whose answers the test gives.
 struct RunningProcess {
   RunningProcess()
       : store(runtime),
@@ -106,7 +106,7 @@
 }
 
 Test(relay_process, finishes_requests_in_flight_on_stop_and_rejects_late_ones) {
-  // Seen on partida trouble-2, seed 495017447256: a request taken long after the signal was lost.
+  // A request accepted long after the stop signal would be lost.
   RunningProcess running;
   const auto answer = running.start_request(running.addresses.callers, "/safe/a");
   running.wait_for_engine();
@@ -114,11 +114,11 @@
   running.process->stop([&] { stopped = true; });
   cr_assert_eq(running.get(running.addresses.ready, "/").status, 503);
   while (running.get(running.addresses.callers, "/nowhere").status != 0) continue;
-  cr_assert_not(stopped, "a request is under way");
+  cr_assert_not(stopped, "a request is in flight");
   cr_assert_not(answer->done);
   running.engine_responder->respond({200, RelayFixture::sealed_headers(), "whole"});
   while (!answer->done) running.loop.run_one();
-  cr_assert_eq(answer->status, 200, "what was taken is answered");
+  cr_assert_eq(answer->status, 200, "an accepted request is answered");
   while (!stopped) running.loop.run_one();
 }
 
@@ -130,7 +130,7 @@
 }
 
 Test(relay_process, reads_the_latest_state_itself_without_a_load_exchange) {
-  // Without an address for peers nobody gives hints, and answers that lag would be all it ever has.
+  // Without peers there are no revision hints, and reads that may lag could stay stale.
   RunningProcess running;
   cr_assert_gt(running.store.latest_calls, 0);
 }
--- a/tests/relay/relay_session_test.cpp
+++ b/tests/relay/relay_session_test.cpp
@@ -164,7 +164,7 @@
   site.http.answer(1, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
   cr_assert_eq(reply->body, "id: 1\ndata: a\n\n");
   cr_assert(reply->finished);
-  cr_assert_eq(site.http.count(), 2, "a handle that was taken is not freed");
+  cr_assert_eq(site.http.count(), 2, "a used handle is not released");
 }
 
 Test(relay_session, releases_an_unused_handle) {
@@ -206,7 +206,7 @@
   site.http.begin(0, 200, RelayFixture::sealed_headers());
   site.http.piece(0, "id: 1\ndata: a\n\nid: 2\nda");
   site.http.finish(0);
-  cr_assert_eq(reply->body, "id: 1\ndata: a\n\n", "only whole events go on");
+  cr_assert_eq(reply->body, "id: 1\ndata: a\n\n", "only complete events are forwarded");
   cr_assert(reply->aborted);
   cr_assert_not(reply->finished);
 }
@@ -244,7 +244,7 @@
 }
 
 Test(relay_session, charges_sends_after_a_refused_prefill_to_the_budget) {
-  // Once 358 extra sends where 186 were allowed: what followed refused prompts was not counted.
+  // Guards against sends after a refused prefill that are not charged.
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
@@ -266,16 +266,16 @@
       site.http.answer(last, 200, RelayFixture::sealed_headers(), "id: 1\ndata: a\n\n");
     site.runtime.advance(10ms);
   }
-  // The share of one of 8 nodes: 80 / 8 and half of a fifth of its own 60 requests.
+  // This node's share: 80 / 8 of the slack, and half of a fifth of its own 60 requests.
   cr_assert_leq(retries, 10 + 6);
   cr_assert_gt(retries, 0);
-  cr_assert_gt(direct_sends, 30, "what has just refused gets no prompt once the budget is spent");
+  cr_assert_gt(direct_sends, 30,
+               "no remote prefill at an engine that just refused once the budget is spent");
 }
 
 Test(relay_session, prefills_remotely_without_budget_and_retries_within_it) {
-  // An overload at 66 nodes broke the bound: while one answer was awaited, others passed the check.
-  // Later each prompt under way had budget set aside, and others waited for it: a trial lost 0.02
-  // of the worth of the days with trouble.
+  // Requests in flight together must not pass the budget check together, nor reserve budget for a
+  // prefill.
   RelayFixture site;
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.add_engine("d", "model", EngineStage::kDecode);
@@ -288,7 +288,7 @@
     site.http.answer(i, 503, {{"id", "r1"}, {"refused", "1"}}, "");
   }
   cr_assert_gt(remote, 20);
-  // The share of one of 8 nodes: 80 / 8 and half of a fifth of its own 30 requests.
+  // This node's share: 80 / 8 of the slack, and half of a fifth of its own 30 requests.
   cr_assert_leq(site.http.count(), kRequests + 10 + 3);
   cr_assert_gt(site.http.count(), kRequests);
 }
@@ -299,12 +299,12 @@
   site.settings.retry_budget.ratio = 2;
   site.restart();
   for (const char* id : {"d", "e", "f"}) site.add_engine(id, "model", EngineStage::kDecode);
-  // Each request is worth one extra send.
+  // Each request earns budget for one extra send.
   for (int i = 0; i < 2; ++i) site.request("/stream/a", {{"tokens", "20000"}});
   site.add_engine("p", "model", EngineStage::kPrefill);
   site.http.answer(0, 503, {{"id", "r1"}, {"refused", "1"}}, "");
   cr_assert_eq(site.http.at(2).request.headers.get("stage"), "read");
-  // The other request spends what was left meanwhile.
+  // The other request spends the remaining budget meanwhile.
   site.http.answer(1, 503, {{"id", "r1"}, {"refused", "1"}}, "");
   cr_assert_eq(site.http.count(), 4);
   site.http.answer(2, 200, {{"id", "r1"}}, "h1");
@@ -322,7 +322,7 @@
   }
   const std::string text = site.node->metrics().to_text();
   const std::string service = "service=\"plain\"";
-  // The share of one of 8 nodes: 80 / 8, and half of a fifth of the 30 requests.
+  // This node's share: 80 / 8 of the slack, and half of a fifth of the 30 requests.
   cr_assert(text.find("extra_sends_total{" + service + "} 13") != std::string::npos);
   cr_assert(text.find("budget_exhausted_total{" + service + "} 17") != std::string::npos);
 }
--- a/tests/relay/stream_progress_test.cpp
+++ b/tests/relay/stream_progress_test.cpp
@@ -22,7 +22,7 @@
   cr_assert_not(stream.in_order(event(12, "12")));
   cr_assert(stream.in_order(event(13, "13")));
   cr_assert(stream.in_order({}));
-  cr_assert(stream.last_id_text().empty(), "what the caller said itself goes on as it was");
+  cr_assert(stream.last_id_text().empty(), "the caller's own last event id is forwarded unchanged");
   stream.on_forwarded(kNow, event(20, "020"));
   cr_assert_eq(stream.last_id_text(), "020");
   cr_assert_not(stream.in_order(event(19, "19")));
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a relay node runs on in tests: a clock that is moved by hand, an HTTP client whose answers
-/// the test gives, a caller that records, and a small dialect of its own.
+/// Fakes for tests of a relay node: a manual clock, a scripted HTTP client, a recording responder,
+/// an in-memory store and a small dialect.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
 
 namespace shuntbank::testing {
 
-/// Time that passes only when the test says so.
+/// Runtime whose time advances only on request.
 class ManualRuntime : public Runtime {
  public:
   MonotonicTime now() const override { return now_; }
@@ -32,10 +32,10 @@
   void post(std::function<void()> function) override;
   std::string random_hex(std::size_t bytes) override;
 
-  /// Lets time pass and calls what is due, in order.
+  /// Advances the time and runs due timers in order.
   void advance(Duration duration);
 
-  /// Lets time pass without calling anything, as for a process that stands still.
+  /// Advances the time without running timers, as if the process stalled.
   void stall(Duration duration) { now_ += duration; }
 
  private:
@@ -51,7 +51,7 @@
   std::uint64_t hex_calls_ = 0;
 };
 
-/// One request that the node has sent.
+/// A request that the node has sent.
 struct SentRequest {
   TransferId id = 0;
   OutgoingRequest request;
@@ -60,21 +60,21 @@
   bool done = false;
 };
 
-/// Records what is sent; the test answers.
+/// Records requests; the test gives the answers.
 class ScriptedHttpClient : public HttpClient {
  public:
   TransferId start(OutgoingRequest request, TransferHandlers handlers) override;
   void cancel(TransferId id) override;
   void resume(TransferId) override {}
 
-  /// Answers whole.
+  /// Sends a complete answer.
   void answer(std::size_t index, int status, const HttpHeaders& headers, const std::string& body);
-  /// Begins an answer and sends a piece; the rest follows by `piece`, `finish` or `fail`.
+  /// Begins an answer, to be continued by `piece`, `finish` or `fail`.
   void begin(std::size_t index, int status, const HttpHeaders& headers);
   void piece(std::size_t index, const std::string& bytes);
   void finish(std::size_t index);
   void fail(std::size_t index, TransferFailure failure);
-  /// Nobody listens at the address any more.
+  /// Fails the transfer with a refused connection.
   void refuse_connection(std::size_t index);
 
   SentRequest& at(std::size_t index) { return *sent.at(index); }
@@ -83,7 +83,7 @@
   std::vector<std::shared_ptr<SentRequest>> sent;
 };
 
-/// What a caller has seen.
+/// The reply that a caller has received.
 struct RecordedReply {
   int status = 0;
   HttpHeaders headers;
@@ -93,7 +93,7 @@
   int head_count = 0;
 };
 
-/// Records a reply. The caller can go away.
+/// Records a reply. The caller can disconnect.
 class RecordingResponder : public ConnectionResponder {
  public:
   explicit RecordingResponder(std::shared_ptr<RecordedReply> reply) : reply_(std::move(reply)) {}
@@ -116,7 +116,7 @@
   std::function<void()> closed_handler_;
 };
 
-/// Header names and formats of the tests' own.
+/// Dialect with test-only header names and formats.
 class TestDialect : public relay::EngineDialect {
  public:
   TestDialect();
@@ -146,7 +146,7 @@
   relay::HeaderNames names_;
 };
 
-/// A store in memory, whose answers the test can hold back or lose.
+/// An in-memory store that can fail, lose answers, lag or answer slowly.
 class MemoryStore : public store::ObjectStore {
  public:
   explicit MemoryStore(Runtime& runtime) : runtime_(runtime) {}
@@ -166,26 +166,26 @@
                const nlohmann::json& content, Duration timeout,
                store::StoreHandler<store::StoredObject> handler) override;
 
-  /// The operator or an engine writes.
+  /// Writes as the operator or an engine.
   void put(const std::string& kind, const std::string& name, const nlohmann::json& content);
   void remove(const std::string& kind, const std::string& name);
   /// @return the revision of the last change.
   std::uint64_t revision() const { return revision_; }
-  /// Drops the history: watches from before get `kHistoryGone`.
+  /// Drops the history: watches from earlier revisions fail with `kHistoryGone`.
   void forget_history();
 
   bool down = false;                ///< Calls fail with `kNotDone`.
-  bool lose_answers = false;        ///< Writes are done and not answered.
-  bool drop_notifications = false;  ///< Watches under way do not hear of changes.
-  /// Answers that may lag know nothing newer than this revision.
+  bool lose_answers = false;        ///< Writes take effect but fail with `kUncertain`.
+  bool drop_notifications = false;  ///< Open watches miss changes.
+  /// Newest revision in answers that may lag.
   std::uint64_t replica_revision = std::numeric_limits<std::uint64_t>::max();
-  /// What lists and watches are answered over; null: answers take no time.
+  /// Carries the answers to lists and watches; null: answers take no time.
   SlowLink* link = nullptr;
   std::size_t object_bytes = 0;  ///< Of each object in an answer.
-  Duration answer_delay{};       ///< Until an answer over the link begins.
+  Duration answer_delay{};       ///< Before an answer over the link begins.
   int lists = 0;
   int watches = 0;
-  int latest_calls = 0;  ///< Of the lists and watches: those that may not lag.
+  int latest_calls = 0;  ///< Lists and watches that may not lag.
   int writes = 0;
 
  private:
@@ -208,7 +208,7 @@
   store::ChangeBatch changes_after(const std::string& kind, std::uint64_t revision,
                                    store::Freshness freshness) const;
   void notify_watches();
-  /// Answers a list or a watch, over the link where there is one.
+  /// Answers a list or a watch, over the link if there is one.
   template <typename Value>
   void send(store::CallId call, std::size_t objects, Duration timeout,
             store::StoreHandler<Value> handler, tl::expected<Value, store::StoreError> value) {
@@ -233,14 +233,14 @@
   Runtime& runtime_;
   std::map<std::string, std::map<std::string, store::StoredObject>> kinds_;
   std::vector<Change> history_;
-  std::vector<Change> full_history_;  ///< With what the store has forgotten.
+  std::vector<Change> full_history_;  ///< Including changes dropped from `history_`.
   std::vector<PendingWatch> pending_watches_;
   std::uint64_t revision_ = 1;
   std::uint64_t oldest_revision_ = 0;
   store::CallId last_call_ = 0;
 };
 
-/// Objects as the tests' store holds them.
+/// Codec for the objects of `MemoryStore`.
 class TestCodec : public relay::CatalogCodec {
  public:
   std::string configuration_kind() const override { return "routes"; }
@@ -252,18 +252,18 @@
       const store::StoredObject& object) const override;
 };
 
-/// A relay node with two services, `plain` and `model`, and what it runs on.
+/// A relay node with two services, `plain` and `model`, and its fakes.
 class RelayFixture {
  public:
   RelayFixture();
 
-  /// Takes the place of the node with one that has just started and knows no other.
+  /// Replaces the node by a freshly started one that knows no other nodes.
   void restart();
 
-  /// @return whether a request whose first engine fails goes on at another.
+  /// @return whether a request whose first engine fails is sent to another.
   bool sends_retry();
 
-  /// Sends a request of a caller.
+  /// Sends a caller's request.
   std::shared_ptr<RecordedReply> request(const std::string& path, const HttpHeaders& more = {},
                                          const std::string& method = "POST",
                                          const std::string& body = "body");
@@ -272,7 +272,7 @@
   void add_engine(const std::string& id, const std::string& service,
                   relay::EngineStage stage = relay::EngineStage::kNone, bool draining = false);
 
-  /// @return header fields of an answer by the engine to the request `id`.
+  /// @return headers of a valid engine answer to the request `id`.
   static HttpHeaders sealed_headers(const std::string& id = "r1");
 
   static relay::RouteConfiguration configuration(std::uint64_t version);
