--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -296,20 +296,20 @@
   } else {
     failed_engines_.push_back(engine_);
   }
-  if (interruption_limit_reached())
-    return end_without_answer(why + ", and engines may have crashed under this request before");
+  if (crash_limit_reached())
+    return end_unanswered(why + ", and engines may have crashed under this request before");
   const AttemptVerdict verdict = after_failure(route_, history_);
-  if (verdict != AttemptVerdict::kTryElsewhere) return end_without_answer(why);
+  if (verdict != AttemptVerdict::kTryElsewhere) return end_unanswered(why);
   if (!within_budget()) return end_over_budget(why);
   dispatch();
 }
 
 void RelaySession::end_over_budget(const std::string& why) {
   context_.metrics.count_budget_exhausted(service_name_.value());
-  end_without_answer(why + ", and the retry budget is spent");
+  end_unanswered(why + ", and the retry budget is spent");
 }
 
-void RelaySession::end_without_answer(const std::string& why) {
+void RelaySession::end_unanswered(const std::string& why) {
   if (may_promise_not_run(history_) && !history_.head_forwarded) return refuse(why);
   fail(http_status::kBadGateway, why);
 }
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -81,7 +81,7 @@
   // Crashing requests and quarantine.
   CrashStanding suspect_status() const;
   bool needs_isolation() const;
-  bool interruption_limit_reached() const;
+  bool crash_limit_reached() const;
   bool reject_if_quarantined();
   void answer_quarantined(const CrashStanding& status);
   /// @return the reason to refuse the request for now, or null.
@@ -111,7 +111,7 @@
   double budget_left() const;
   void record_send(bool prefill_only);
   void end_over_budget(const std::string& why);
-  void end_without_answer(const std::string& why);
+  void end_unanswered(const std::string& why);
   void refuse(const std::string& why);
   void fail(int status, const std::string& why);
   void on_timeout();
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -217,11 +217,11 @@
 
 void RelaySession::update_prefill_model(bool exclusive) {
   EngineModel& model = context_.engines.model_of(service_name_);
-  const Duration took = context_.runtime.now() - sent_at_;
-  if (fetch_address_.empty()) return model.on_prompt_read(prefill_tokens_, took, exclusive);
+  const Duration elapsed = context_.runtime.now() - sent_at_;
+  if (fetch_address_.empty()) return model.on_prompt_read(prefill_tokens_, elapsed, exclusive);
   if (!exclusive) return;
   model.on_fetched(prefill_tokens_,
-                   service_->model->move_ms(prompt_->prompt_tokens - prefill_tokens_), took);
+                   service_->model->move_ms(prompt_->prompt_tokens - prefill_tokens_), elapsed);
 }
 
 void RelaySession::on_stream_end() {
--- a/src/relay/relay_session_quarantine.cpp
+++ b/src/relay/relay_session_quarantine.cpp
@@ -34,7 +34,7 @@
   return suspect_status().broken >= kIsolationThreshold;
 }
 
-bool RelaySession::interruption_limit_reached() const {
+bool RelaySession::crash_limit_reached() const {
   const CrashStanding status = suspect_status();
   return status.held_for.has_value() || status.broken >= kRetryStopThreshold;
 }
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -25,8 +25,7 @@
 std::string ManualRuntime::random_hex(std::size_t bytes) {
   const std::string digits = "0123456789abcdef";
   std::string text;
-  for (std::size_t i = 0; i < bytes * 2; ++i)
-    text += digits[(++hex_calls_ * 7 + i) % digits.size()];
+  for (std::size_t i = 0; i < bytes * 2; ++i) text += digits[(++draws_ * 7 + i) % digits.size()];
   return text;
 }
 
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -48,7 +48,7 @@
   MonotonicTime now_{std::chrono::seconds(1000)};
   std::multimap<MonotonicTime, Entry> timers_;
   std::shared_ptr<bool> never_cancelled_ = std::make_shared<bool>(true);
-  std::uint64_t hex_calls_ = 0;
+  std::uint64_t draws_ = 0;
 };
 
 /// A request that the node has sent.
