--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -296,8 +296,7 @@
   } else {
     failed_engines_.push_back(engine_);
   }
-  if (crash_limit_reached())
-    return end_unanswered(why + ", and engines may have crashed under this request before");
+  if (crash_limit_reached()) return end_unanswered(why + ", and engines may have crashed under it");
   const AttemptVerdict verdict = after_failure(route_, history_);
   if (verdict != AttemptVerdict::kTryElsewhere) return end_unanswered(why);
   if (!within_budget()) return end_over_budget(why);
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -44,8 +44,7 @@
   if (!echoed && !refused_) answer_invalid_ = true;
   const bool sealed = !headers.get(names.seal).empty();
   if (step_ != Step::kPrefill && is_success(status) && !sealed) answer_invalid_ = true;
-  // Not the engine's own header: a 421 comes from another engine, an answer without the id is
-  // invalid.
+  // A 421 comes from another engine, and an answer that does not echo the id is not trusted.
   if (!answer_invalid_ && status != http_status::kMisdirected) {
     context_.listener.on_head(engine_, status, headers, id_);
   }
