--- a/src/relay/relay_context.cpp
+++ b/src/relay/relay_context.cpp
@@ -12,7 +12,7 @@
   view->cache.on_read(parts, view->memory_tokens, runtime.now());
 }
 
-void RelayContext::on_engine_ended(const EngineId& engine) {
+void RelayContext::on_engine_terminated(const EngineId& engine) {
   quarantine.on_engine_ended(engine);
   EngineView* view = engines.find(engine);
   if (view == nullptr || std::exchange(view->ended, true)) return;
--- a/src/relay/relay_context.hpp
+++ b/src/relay/relay_context.hpp
@@ -47,7 +47,7 @@
   void queue_limit_update(const LimitNews& news);
 
   /// The engine's address refuses connections: the engine process has terminated.
-  void on_engine_ended(const EngineId& engine);
+  void on_engine_terminated(const EngineId& engine);
 
   /// An engine has answered a request that was sent at `sent_at`.
   void on_engine_answered(const EngineId& engine, MonotonicTime sent_at);
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -85,7 +85,7 @@
   bool reject_if_quarantined();
   void answer_quarantined(const CrashStanding& status);
   /// @return the reason to refuse the request for now, or null.
-  static const char* wait_reason(const CrashStanding& status);
+  static const char* refusal_reason(const CrashStanding& status);
   void update_crash_risk_engines();
   void report_interruption();
   void report_unresponsive();
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -176,7 +176,7 @@
   // A withdrawn send may get another permit at the same engine.
   if (withdrawn && context_.permits.limited(engine_)) return redispatch(engine_);
   if (!withdrawn) report_health(not_sent ? AttemptHealth::kUnreachable : AttemptHealth::kFailed);
-  if (error.connection_refused) context_.on_engine_ended(engine_);
+  if (error.connection_refused) context_.on_engine_terminated(engine_);
   if (withdrawn || not_sent) return on_attempt_failed(AttemptOutcome::kNotSent, error.message);
   report_interruption();
   on_attempt_failed(AttemptOutcome::kUncertain, error.message);
--- a/src/relay/relay_session_quarantine.cpp
+++ b/src/relay/relay_session_quarantine.cpp
@@ -48,7 +48,7 @@
     answer_quarantined(status);
     return true;
   }
-  const char* const why = wait_reason(status);
+  const char* const why = refusal_reason(status);
   if (why == nullptr) return false;
   refuse(why);
   return true;
@@ -64,7 +64,7 @@
   respond(http_status::kTooManyRequests, headers, why + kQuarantineAdvice, "held_back");
 }
 
-const char* RelaySession::wait_reason(const CrashStanding& status) {
+const char* RelaySession::refusal_reason(const CrashStanding& status) {
   if (!status.suspect()) return nullptr;
   // A single interruption does not block concurrent attempts.
   const bool strong_evidence = status.ended > 0 || status.broken >= kIsolationThreshold;
