--- a/src/relay/capacity_coordinator.cpp
+++ b/src/relay/capacity_coordinator.cpp
@@ -17,7 +17,7 @@
     : runtime(own_runtime),
       store(own_store),
       lease(own_lease),
-      service(own_service),
+      duty_service(own_service),
       node(own_node),
       machine(own_machine),
       settings(own_settings) {
@@ -32,175 +32,181 @@
 
 void CapacityCoordinator::tick() {
   if (this->settings.planner.way == capacity::BuyingWay::kNone) return;
-  if (this->lease.held_for() < this->settings.settle) {
+  if (this->lease.held_for() < this->settings.takeover_delay) {
     // Another holder may have ordered meanwhile.
-    this->services.clear();
+    this->service_states.clear();
     return;
   }
   if (this->node.table() == nullptr) return;
   for (const RelayedService& declared : this->node.table()->configuration().services) {
     if (!declared.scale) continue;
-    const auto known = this->services.try_emplace(declared.name, this->settings.planner).first;
-    this->plan(declared, known->second);
+    const auto state =
+        this->service_states.try_emplace(declared.name, this->settings.planner).first;
+    this->plan_service(declared, state->second);
   }
 }
 
 /// Zones without an engine count where the operator names a price for them.
-EnginesByZone CapacityCoordinator::present(const RelayedService& declared) const {
+EnginesByZone CapacityCoordinator::count_engines(const RelayedService& declared) const {
   EnginesByZone engines;
   for (const auto& [zone, price] : declared.scale->zone_prices) engines[zone];
   for (const auto& [id, engine] : this->node.engines().all()) {
     const EngineRecord& record = engine.record;
     if (record.service != declared.name || record.draining) continue;
-    capacity::ZoneEngines& there = engines[record.zone];
-    ++(record.spot ? there.spot : there.full);
+    capacity::ZoneEngines& counts = engines[record.zone];
+    ++(record.spot ? counts.spot : counts.full);
   }
   return engines;
 }
 
-void CapacityCoordinator::plan(const RelayedService& declared, Service& known) {
-  const EnginesByZone engines = this->present(declared);
-  if (!known.need_known) this->learn_need(declared.name, known, engines);
+void CapacityCoordinator::plan_service(const RelayedService& declared, ServiceState& state) {
+  const EnginesByZone engines = this->count_engines(declared);
+  if (!state.needed_known) this->update_needed(declared.name, state, engines);
   const MonotonicTime now = this->runtime.now();
-  const auto plan = known.planner.plan(now, *declared.scale, known.needed, engines);
-  this->refill_changes(known);
+  const auto plan = state.planner.plan(now, *declared.scale, state.needed, engines);
+  this->refill_change_budget(state);
   for (const auto& [purchase, wanted] : plan) {
     // Before it is known what is needed nothing is given back.
-    if (!known.need_known && !purchase.spot) continue;
-    const capacity::ZoneEngines& there = engines.at(purchase.zone);
-    const std::uint32_t have = purchase.spot ? there.spot : there.full;
-    if (!this->due(declared, known, purchase, wanted, have)) continue;
-    const std::uint32_t step = this->next_step(declared, known, purchase, wanted, have);
-    const auto given = known.given.find(purchase);
-    const bool same = given != known.given.end() && given->second.engines == step;
-    if (same && !this->effect_overdue(declared, given->second)) continue;
-    this->order(declared.name, known, purchase, step);
+    if (!state.needed_known && !purchase.spot) continue;
+    const capacity::ZoneEngines& present = engines.at(purchase.zone);
+    const std::uint32_t current = purchase.spot ? present.spot : present.full;
+    if (!this->is_order_due(declared, state, purchase, wanted, current)) continue;
+    const std::uint32_t step = this->next_order_size(declared, state, purchase, wanted, current);
+    const auto issued = state.orders.find(purchase);
+    const bool unchanged = issued != state.orders.end() && issued->second.engines == step;
+    if (unchanged && !this->is_effect_overdue(declared, issued->second)) continue;
+    this->send_order(declared.name, state, purchase, step);
   }
 }
 
-void CapacityCoordinator::refill_changes(Service& known) const {
+void CapacityCoordinator::refill_change_budget(ServiceState& state) const {
   const MonotonicTime now = this->runtime.now();
-  const Duration most = std::chrono::seconds(1);
-  const Duration since = std::min<Duration>(now - known.changed_at, most);
-  known.changed_at = now;
-  const double a_second = this->settings.changes_a_second;
-  known.changes_left = std::min(a_second, known.changes_left + to_seconds(since) * a_second);
+  const Duration max_elapsed = std::chrono::seconds(1);
+  const Duration elapsed = std::min<Duration>(now - state.budget_refilled_at, max_elapsed);
+  state.budget_refilled_at = now;
+  const double per_second = this->settings.max_changes_per_second;
+  state.change_budget =
+      std::min(per_second, state.change_budget + to_seconds(elapsed) * per_second);
 }
 
 /// @return how many are ordered now on the way from what there is, or is coming, to what is wanted.
-std::uint32_t CapacityCoordinator::next_step(const RelayedService& declared, Service& known,
-                                             const Purchase& purchase, std::uint32_t wanted,
-                                             std::uint32_t there) const {
-  const auto given = known.given.find(purchase);
-  const bool coming = given != known.given.end() && !this->effect_overdue(declared, given->second);
-  const std::uint32_t from = coming ? given->second.engines : there;
-  const std::uint32_t way = wanted > from ? wanted - from : from - wanted;
-  const std::uint32_t step = std::min(way, static_cast<std::uint32_t>(known.changes_left));
-  known.changes_left -= step;
-  return wanted > from ? from + step : from - step;
+std::uint32_t CapacityCoordinator::next_order_size(const RelayedService& declared,
+                                                   ServiceState& state, const Purchase& purchase,
+                                                   std::uint32_t wanted,
+                                                   std::uint32_t current) const {
+  const auto issued = state.orders.find(purchase);
+  const bool pending =
+      issued != state.orders.end() && !this->is_effect_overdue(declared, issued->second);
+  const std::uint32_t base = pending ? issued->second.engines : current;
+  const std::uint32_t distance = wanted > base ? wanted - base : base - wanted;
+  const std::uint32_t step = std::min(distance, static_cast<std::uint32_t>(state.change_budget));
+  state.change_budget -= step;
+  return wanted > base ? base + step : base - step;
 }
 
 /// Engines that were taken back are not replaced without a word.
-bool CapacityCoordinator::effect_overdue(const RelayedService& declared, const Given& given) const {
-  const Duration due_after = declared.scale->startup + this->settings.effect_due;
-  return this->runtime.now() - given.at >= due_after;
+bool CapacityCoordinator::is_effect_overdue(const RelayedService& declared,
+                                            const IssuedOrder& issued) const {
+  const Duration timeout = declared.scale->startup + this->settings.effect_timeout;
+  return this->runtime.now() - issued.issued_at >= timeout;
 }
 
 /// What the operator has sized the service for is what it had before this product ordered anything:
 /// written down once, so that no later holder takes what was ordered for it.
-void CapacityCoordinator::learn_need(const ServiceName& name, Service& known,
-                                     const EnginesByZone& engines) {
+void CapacityCoordinator::update_needed(const ServiceName& name, ServiceState& state,
+                                        const EnginesByZone& engines) {
   const MonotonicTime now = this->runtime.now();
   const std::uint32_t seen = capacity::in_all(engines).full;
-  if (seen > known.needed) {
-    known.needed = seen;
-    known.grown_at = now;
+  if (seen > state.needed) {
+    state.needed = seen;
+    state.increased_at = now;
   }
-  if (known.calling) return;
-  if (!known.record_missing) return this->read_need(name);
-  const bool stands = now - known.grown_at >= this->settings.count_stands;
-  if (known.needed > 0 && stands) this->create_need(name, known.needed);
+  if (state.store_call_pending) return;
+  if (!state.record_missing) return this->read_needed(name);
+  const bool stable = now - state.increased_at >= this->settings.stable_count_interval;
+  if (state.needed > 0 && stable) this->create_needed_record(name, state.needed);
 }
 
-void CapacityCoordinator::read_need(const ServiceName& name) {
-  this->services.at(name).calling = true;
+void CapacityCoordinator::read_needed(const ServiceName& name) {
+  this->service_states.at(name).store_call_pending = true;
   this->store.read(this->settings.record_kind, name.value(), this->settings.call_timeout,
                    [this, living = this->alive,
                     name](const tl::expected<store::StoredObject, store::StoreError>& read) {
                      if (!*living) return;
-                     if (read) return this->take_need(name, *read);
-                     const auto known = this->services.find(name);
-                     if (known == this->services.end()) return;
-                     known->second.calling = false;
-                     known->second.record_missing = read.error() == store::StoreError::kMissing;
+                     if (read) return this->on_needed_record(name, *read);
+                     const auto state = this->service_states.find(name);
+                     if (state == this->service_states.end()) return;
+                     state->second.store_call_pending = false;
+                     state->second.record_missing = read.error() == store::StoreError::kMissing;
                    });
 }
 
-void CapacityCoordinator::create_need(const ServiceName& name, std::uint32_t seen) {
-  this->services.at(name).calling = true;
+void CapacityCoordinator::create_needed_record(const ServiceName& name, std::uint32_t seen) {
+  this->service_states.at(name).store_call_pending = true;
   this->store.create(this->settings.record_kind, name.value(), nlohmann::json{{"engines", seen}},
                      this->settings.call_timeout,
                      [this, living = this->alive,
                       name](const tl::expected<store::StoredObject, store::StoreError>& made) {
                        if (!*living) return;
-                       if (made) return this->take_need(name, *made);
+                       if (made) return this->on_needed_record(name, *made);
                        // It may have been made, by this node or another: read again.
-                       const auto known = this->services.find(name);
-                       if (known == this->services.end()) return;
-                       known->second.calling = false;
-                       known->second.record_missing = false;
+                       const auto state = this->service_states.find(name);
+                       if (state == this->service_states.end()) return;
+                       state->second.store_call_pending = false;
+                       state->second.record_missing = false;
                      });
 }
 
-void CapacityCoordinator::take_need(const ServiceName& name, const store::StoredObject& object) {
-  const auto known = this->services.find(name);
-  if (known == this->services.end()) return;
-  known->second.calling = false;
+void CapacityCoordinator::on_needed_record(const ServiceName& name,
+                                           const store::StoredObject& object) {
+  const auto state = this->service_states.find(name);
+  if (state == this->service_states.end()) return;
+  state->second.store_call_pending = false;
   const bool readable = object.content.is_object() && object.content.contains("engines") &&
                         object.content["engines"].is_number_unsigned();
   if (!readable) {
     return log_event(LogArea::kPlatform, LogLevel::kError, "object_malformed",
                      {{"name", object.name}, {"why", "no count of engines"}});
   }
-  known->second.needed = object.content["engines"].get<std::uint32_t>();
-  known->second.need_known = true;
+  state->second.needed = object.content["engines"].get<std::uint32_t>();
+  state->second.needed_known = true;
   log_event(LogArea::kControl, LogLevel::kInfo, "capacity_needed",
-            {{"service", name.value()}, {"engines", known->second.needed}});
+            {{"service", name.value()}, {"engines", state->second.needed}});
 }
 
-bool CapacityCoordinator::due(const RelayedService& declared, const Service& known,
-                              const Purchase& purchase, std::uint32_t wanted,
-                              std::uint32_t there) const {
+bool CapacityCoordinator::is_order_due(const RelayedService& declared, const ServiceState& state,
+                                       const Purchase& purchase, std::uint32_t wanted,
+                                       std::uint32_t current) const {
   const MonotonicTime now = this->runtime.now();
-  const bool more = wanted > there;
-  if (more && !known.planner.may_ask(now, purchase)) return false;
-  const auto given = known.given.find(purchase);
-  if (given == known.given.end()) return wanted != there;
-  if (given->second.busy) return false;
-  if (given->second.engines != wanted) return true;
-  return more && this->effect_overdue(declared, given->second);
+  const bool increase = wanted > current;
+  if (increase && !state.planner.may_ask(now, purchase)) return false;
+  const auto issued = state.orders.find(purchase);
+  if (issued == state.orders.end()) return wanted != current;
+  if (issued->second.in_flight) return false;
+  if (issued->second.engines != wanted) return true;
+  return increase && this->is_effect_overdue(declared, issued->second);
 }
 
-void CapacityCoordinator::order(const ServiceName& name, Service& known, const Purchase& purchase,
-                                std::uint32_t wanted) {
+void CapacityCoordinator::send_order(const ServiceName& name, ServiceState& state,
+                                     const Purchase& purchase, std::uint32_t wanted) {
   const auto fence = this->lease.authority();
   if (!fence) return;
-  known.given[purchase] = {wanted, this->runtime.now(), true};
+  state.orders[purchase] = {wanted, this->runtime.now(), true};
   const EngineOrder order{name, purchase.zone, wanted, purchase.spot};
   log_event(LogArea::kControl, LogLevel::kInfo, "engines_ordered",
             {{"service", name.value()},
              {"zone", purchase.zone.value()},
              {"spot", purchase.spot},
              {"engines", wanted},
-             {"needed", known.needed},
+             {"needed", state.needed},
              {"fence", *fence}});
-  this->service.order_engines({this->machine, *fence}, order, this->settings.call_timeout,
-                              [this, living = this->alive, order](DutyOutcome outcome) {
-                                if (*living) this->on_ordered(order, outcome);
-                              });
+  this->duty_service.order_engines({this->machine, *fence}, order, this->settings.call_timeout,
+                                   [this, living = this->alive, order](DutyOutcome outcome) {
+                                     if (*living) this->on_order_answered(order, outcome);
+                                   });
 }
 
-void CapacityCoordinator::on_ordered(const EngineOrder& order, DutyOutcome outcome) {
+void CapacityCoordinator::on_order_answered(const EngineOrder& order, DutyOutcome outcome) {
   this->node.metrics().count_duty_call("engines", to_text(outcome));
   log_event(LogArea::kControl, LogLevel::kInfo, "engines_order_answered",
             {{"service", order.service.value()},
@@ -208,16 +214,16 @@
              {"spot", order.spot},
              {"engines", order.engines},
              {"outcome", to_text(outcome)}});
-  const auto known = this->services.find(order.service);
-  if (known == this->services.end()) return;
+  const auto state = this->service_states.find(order.service);
+  if (state == this->service_states.end()) return;
   const Purchase purchase{order.zone, order.spot};
-  const auto given = known->second.given.find(purchase);
-  if (given == known->second.given.end()) return;
-  given->second.busy = false;
+  const auto issued = state->second.orders.find(purchase);
+  if (issued == state->second.orders.end()) return;
+  issued->second.in_flight = false;
   if (outcome == DutyOutcome::kDone) return;
-  known->second.given.erase(given);
+  state->second.orders.erase(issued);
   if (outcome == DutyOutcome::kRefused) {
-    known->second.planner.on_none_there(this->runtime.now(), purchase);
+    state->second.planner.on_none_there(this->runtime.now(), purchase);
   }
 }
 
--- a/src/relay/capacity_coordinator.hpp
+++ b/src/relay/capacity_coordinator.hpp
@@ -29,51 +29,53 @@
 
  private:
   /// An order, and what is known of it.
-  struct Given {
+  struct IssuedOrder {
     std::uint32_t engines = 0;
-    MonotonicTime at{};
-    bool busy = false;  ///< Not answered yet.
+    MonotonicTime issued_at{};
+    bool in_flight = false;  ///< Not answered yet.
   };
   /// What is known of one service.
-  struct Service {
-    explicit Service(const capacity::CapacitySettings& settings) : planner(settings) {}
+  struct ServiceState {
+    explicit ServiceState(const capacity::CapacitySettings& settings) : planner(settings) {}
     capacity::CapacityPlanner planner;
     std::uint32_t needed = 0;  ///< Most engines seen, until it is known what is needed.
-    bool need_known = false;
-    MonotonicTime grown_at{};  ///< When `needed` last grew, while it is not known.
+    bool needed_known = false;
+    MonotonicTime increased_at{};  ///< When `needed` last grew, while it is not known.
     bool record_missing = false;
-    bool calling = false;  ///< The record is being read or made.
-    std::map<capacity::Purchase, Given> given;
-    MonotonicTime changed_at{};  ///< When engines were last ordered.
-    double changes_left = 0;     ///< Engines that may be bought or given back now.
+    bool store_call_pending = false;  ///< The record is being read or made.
+    std::map<capacity::Purchase, IssuedOrder> orders;
+    MonotonicTime budget_refilled_at{};  ///< When engines were last ordered.
+    double change_budget = 0;            ///< Engines that may be bought or given back now.
   };
 
   void tick();
-  void plan(const RelayedService& declared, Service& service);
-  capacity::EnginesByZone present(const RelayedService& declared) const;
-  void learn_need(const ServiceName& name, Service& known, const capacity::EnginesByZone& engines);
-  void read_need(const ServiceName& name);
-  void create_need(const ServiceName& name, std::uint32_t seen);
-  void take_need(const ServiceName& name, const store::StoredObject& object);
-  bool due(const RelayedService& declared, const Service& service,
-           const capacity::Purchase& purchase, std::uint32_t wanted, std::uint32_t there) const;
-  void refill_changes(Service& service) const;
-  std::uint32_t next_step(const RelayedService& declared, Service& service,
-                          const capacity::Purchase& purchase, std::uint32_t wanted,
-                          std::uint32_t there) const;
-  bool effect_overdue(const RelayedService& declared, const Given& given) const;
-  void order(const ServiceName& name, Service& service, const capacity::Purchase& purchase,
-             std::uint32_t wanted);
-  void on_ordered(const EngineOrder& order, DutyOutcome outcome);
+  void plan_service(const RelayedService& declared, ServiceState& state);
+  capacity::EnginesByZone count_engines(const RelayedService& declared) const;
+  void update_needed(const ServiceName& name, ServiceState& state,
+                     const capacity::EnginesByZone& engines);
+  void read_needed(const ServiceName& name);
+  void create_needed_record(const ServiceName& name, std::uint32_t seen);
+  void on_needed_record(const ServiceName& name, const store::StoredObject& object);
+  bool is_order_due(const RelayedService& declared, const ServiceState& state,
+                    const capacity::Purchase& purchase, std::uint32_t wanted,
+                    std::uint32_t current) const;
+  void refill_change_budget(ServiceState& state) const;
+  std::uint32_t next_order_size(const RelayedService& declared, ServiceState& state,
+                                const capacity::Purchase& purchase, std::uint32_t wanted,
+                                std::uint32_t current) const;
+  bool is_effect_overdue(const RelayedService& declared, const IssuedOrder& issued) const;
+  void send_order(const ServiceName& name, ServiceState& state, const capacity::Purchase& purchase,
+                  std::uint32_t wanted);
+  void on_order_answered(const EngineOrder& order, DutyOutcome outcome);
 
   Runtime& runtime;
   store::ObjectStore& store;
   LeaseKeeper& lease;
-  DutyService& service;
+  DutyService& duty_service;
   RelayNode& node;
   std::string machine;
   CapacityCoordinatorSettings settings;
-  std::map<ServiceName, Service> services;
+  std::map<ServiceName, ServiceState> service_states;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/relay/engine_listener.cpp
+++ b/src/relay/engine_listener.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /// Of a field that cannot be read, in a log line.
-constexpr std::size_t kMostLoggedBytes = 100;
+constexpr std::size_t kMaxLoggedBytes = 100;
 
 /// Of an answer.
-constexpr int kFirstNoSuccess = 300;
+constexpr int kSuccessStatusEnd = 300;
 
 void log_limit(const EngineId& engine, const HeardLimit& limit, MonotonicTime now,
                const char* source, std::string_view request) {
@@ -24,43 +24,44 @@
 
 }  // namespace
 
-void EngineListener::on_head(const EngineId& engine, int status, const HttpHeaders& headers,
-                             std::string_view request) {
-  const ReadNotice read = this->io.dialect.notice(status, headers);
-  for (const std::string& field : read.unreadable) {
+void EngineListener::on_response_head(const EngineId& engine, int status,
+                                      const HttpHeaders& headers, std::string_view request) {
+  const ReadNotice parsed = this->io.dialect.notice(status, headers);
+  for (const std::string& field : parsed.unreadable) {
     this->io.metrics.count_engine_notice("unreadable");
     log_event(LogArea::kControl, LogLevel::kWarning, "engine_notice_unreadable",
               {{"engine", engine.value()},
                {"request", request},
-               {"field", field.substr(0, kMostLoggedBytes)}});
+               {"field", field.substr(0, kMaxLoggedBytes)}});
   }
-  if (read.notice.leaving) this->on_leaving(engine, request);
-  if (read.notice.rest) this->on_rest(engine, *read.notice.rest, request);
+  if (parsed.notice.leaving) this->on_draining(engine, request);
+  if (parsed.notice.rest) this->on_cooldown(engine, *parsed.notice.rest, request);
   // Only an engine that has taken a request up and names no limit has none any more: others may
   // leave the word out where they refuse, fail or report.
-  const bool done = !request.empty() && status >= http_status::kOk && status < kFirstNoSuccess;
-  if (read.notice.limit || (done && !read.notice.names_limit)) {
-    this->on_limit(engine, read.notice.limit, request);
+  const bool succeeded =
+      !request.empty() && status >= http_status::kOk && status < kSuccessStatusEnd;
+  if (parsed.notice.limit || (succeeded && !parsed.notice.names_limit)) {
+    this->on_limit(engine, parsed.notice.limit, request);
   }
 }
 
 /// The other nodes would send the engine requests until each has an answer of its own, and streams
 /// that begin there now may be cut by its end. Told once: who misses it hears it from the engine.
-void EngineListener::on_leaving(const EngineId& engine, std::string_view request) {
-  if (!this->learn_leaving(engine, "engine", request) || !this->tell_trouble) return;
-  this->tell_trouble({engine, EngineStage::kNone, TroubleKind::kLeaving});
+void EngineListener::on_draining(const EngineId& engine, std::string_view request) {
+  if (!this->mark_draining(engine, "engine", request) || !this->trouble_handler) return;
+  this->trouble_handler({engine, EngineStage::kNone, TroubleKind::kLeaving});
 }
 
 void EngineListener::on_peer_trouble(const EngineTrouble& trouble) {
   if (trouble.kind == TroubleKind::kLeaving) {
-    this->learn_leaving(trouble.engine, "node", {});
+    this->mark_draining(trouble.engine, "node", {});
     return;
   }
   this->io.engines.on_peer_trouble(this->io.runtime.now(), trouble);
 }
 
 /// @return whether it is news.
-bool EngineListener::learn_leaving(const EngineId& engine, const char* source,
+bool EngineListener::mark_draining(const EngineId& engine, const char* source,
                                    std::string_view request) {
   if (!this->io.engines.on_leaving(engine)) return false;
   this->io.metrics.count_engine_notice("leaving");
@@ -69,27 +70,28 @@
   return true;
 }
 
-void EngineListener::on_rest(const EngineId& engine, Duration rest, std::string_view request) {
+void EngineListener::on_cooldown(const EngineId& engine, Duration requested,
+                                 std::string_view request) {
   const MonotonicTime now = this->io.runtime.now();
-  this->io.engines.on_rest(now, engine, rest);
+  this->io.engines.on_rest(now, engine, requested);
   this->io.metrics.count_engine_notice("rest");
-  const Duration kept = this->io.engines.notices().rests_until(engine) - now;
+  const Duration cooldown = this->io.engines.notices().rests_until(engine) - now;
   log_event(LogArea::kControl, LogLevel::kInfo, "engine_rests",
             {{"engine", engine.value()},
              {"request", request},
-             {"asked_ms", whole_ms(rest)},
-             {"for_ms", whole_ms(kept)}});
+             {"asked_ms", whole_ms(requested)},
+             {"for_ms", whole_ms(cooldown)}});
 }
 
 /// The other nodes would send the engine some requests each until they have an answer of it.
-void EngineListener::on_limit(const EngineId& engine, std::optional<double> a_second,
+void EngineListener::on_limit(const EngineId& engine, std::optional<double> per_second,
                               std::string_view request) {
   const MonotonicTime now = this->io.runtime.now();
-  const HeardLimit heard{a_second, now};
-  if (!this->io.engines.on_limit(engine, heard)) return;
-  this->io.metrics.count_engine_notice(a_second ? "limit" : "limit_ended");
-  log_limit(engine, heard, now, "engine", request);
-  if (this->tell_limit) this->tell_limit({engine, heard});
+  const HeardLimit observed{per_second, now};
+  if (!this->io.engines.on_limit(engine, observed)) return;
+  this->io.metrics.count_engine_notice(per_second ? "limit" : "limit_ended");
+  log_limit(engine, observed, now, "engine", request);
+  if (this->limit_handler) this->limit_handler({engine, observed});
 }
 
 void EngineListener::on_peer_limit(const LimitNews& news) {
--- a/src/relay/engine_listener.hpp
+++ b/src/relay/engine_listener.hpp
@@ -27,21 +27,21 @@
 
   /// Sets who is told that an engine leaves, for the other nodes.
   void on_trouble(std::function<void(const EngineTrouble&)> handler) {
-    this->tell_trouble = std::move(handler);
+    this->trouble_handler = std::move(handler);
   }
 
   /// Sets who is told that an engine has changed its limit, for the other nodes.
-  void on_limit_news(std::function<void(const LimitNews&)> handler) {
-    this->tell_limit = std::move(handler);
+  void on_limit_changed(std::function<void(const LimitNews&)> handler) {
+    this->limit_handler = std::move(handler);
   }
 
   /// The head of an answer has come that is known to be this engine's.
   /// @param request whose answer it is, for the log; empty for a call of the node's own.
-  void on_head(const EngineId& engine, int status, const HttpHeaders& headers,
-               std::string_view request = {});
+  void on_response_head(const EngineId& engine, int status, const HttpHeaders& headers,
+                        std::string_view request = {});
 
   /// An engine has said, in whatever way, that it leaves.
-  void on_leaving(const EngineId& engine, std::string_view request = {});
+  void on_draining(const EngineId& engine, std::string_view request = {});
 
   /// Another node has heard a limit of an engine.
   void on_peer_limit(const LimitNews& news);
@@ -50,13 +50,13 @@
   void on_peer_trouble(const EngineTrouble& trouble);
 
  private:
-  bool learn_leaving(const EngineId& engine, const char* source, std::string_view request);
-  void on_rest(const EngineId& engine, Duration rest, std::string_view request);
-  void on_limit(const EngineId& engine, std::optional<double> a_second, std::string_view request);
+  bool mark_draining(const EngineId& engine, const char* source, std::string_view request);
+  void on_cooldown(const EngineId& engine, Duration requested, std::string_view request);
+  void on_limit(const EngineId& engine, std::optional<double> per_second, std::string_view request);
 
   EngineListenerIo io;
-  std::function<void(const EngineTrouble&)> tell_trouble;
-  std::function<void(const LimitNews&)> tell_limit;
+  std::function<void(const EngineTrouble&)> trouble_handler;
+  std::function<void(const LimitNews&)> limit_handler;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/engine_permits.cpp
+++ b/src/relay/engine_permits.cpp
@@ -9,199 +9,202 @@
 namespace {
 
 /// Until a call to a keeper is given up. Nodes of three regions answer each other within 100 ms.
-constexpr Duration kCallLife = std::chrono::milliseconds(250);
+constexpr Duration kCallTimeout = std::chrono::milliseconds(250);
 
 /// A node that comes to keep a limit grants nothing for so long: until then others may still go by
 /// the keeper before, which they ask for a sign of life once a second.
-constexpr Duration kFirstGrantAfter = std::chrono::milliseconds(1500);
+constexpr Duration kTakeoverDelay = std::chrono::milliseconds(1500);
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 
 /// A node that has not looked around for so long stood still: another may have taken its place.
-constexpr Duration kStoodStill = std::chrono::milliseconds(500);
+constexpr Duration kStallThreshold = std::chrono::milliseconds(500);
 
 /// Of the listed nodes: a keeper that hears of no more than this grants its own part of the limit
 /// alone, as the others may have a keeper as well. So the keepers of two parts of a fleet give one
 /// and a half times the limit at most.
-constexpr double kMostOfFleet = 0.5;
+constexpr double kMaxMinorityShare = 0.5;
 
 /// Permits that were given back are kept up to this; more come only with a burst of lost
 /// connections.
-constexpr std::size_t kMostSpare = 64;
+constexpr std::size_t kMaxReturnedPermits = 64;
 
 std::uint32_t to_message_ms(Duration duration) {
-  constexpr std::int64_t kMost = kHighestLimitAge;
-  return static_cast<std::uint32_t>(std::clamp<std::int64_t>(whole_ms(duration), 0, kMost));
+  constexpr std::int64_t kMax = kHighestLimitAge;
+  return static_cast<std::uint32_t>(std::clamp<std::int64_t>(whole_ms(duration), 0, kMax));
 }
 
 /// @return whole milliseconds that are no less than the duration.
-std::uint32_t to_message_ms_up(Duration duration) {
+std::uint32_t to_message_ms_ceil(Duration duration) {
   return to_message_ms(duration + std::chrono::microseconds(999));
 }
 
 }  // namespace
 
 void EnginePermits::connect(const NodeId& own_name, PermitPeers& others) {
-  this->alone = false;
+  this->standalone = false;
   this->self = own_name;
-  this->choice = KeeperChoice(own_name);
+  this->owner_selector = KeeperChoice(own_name);
   this->peers = &others;
-  this->ticks = std::make_unique<Periodic>(this->io.runtime, kTick, [this] { this->tick(); });
+  this->ticker =
+      std::make_unique<Periodic>(this->io.runtime, kTickInterval, [this] { this->tick(); });
 }
 
 void EnginePermits::set_nodes(std::vector<NodeId> nodes) {
-  if (!std::exchange(this->nodes_known, true)) this->calm_since = this->io.runtime.now();
-  this->choice.set_nodes(std::move(nodes));
+  if (!std::exchange(this->nodes_known, true)) this->stable_since = this->io.runtime.now();
+  this->owner_selector.set_nodes(std::move(nodes));
 }
 
 void EnginePermits::tick() {
-  this->notice_standstill();
-  this->looked_at = this->io.runtime.now();
-  if (this->io.engines.limits().any()) this->look_around();
+  this->detect_stall();
+  this->last_tick_at = this->io.runtime.now();
+  if (this->io.engines.limits().any()) this->update_ownership();
 }
 
 /// Calls that have waited may be taken before the first tick.
-void EnginePermits::notice_standstill() {
+void EnginePermits::detect_stall() {
   const MonotonicTime now = this->io.runtime.now();
-  if (now - this->looked_at <= kStoodStill) return;
-  this->calm_since = now;
-  for (auto& [engine, kept] : this->keeping) kept.in_charge_since.reset();
+  if (now - this->last_tick_at <= kStallThreshold) return;
+  this->stable_since = now;
+  for (auto& [engine, owned] : this->owned_limits) owned.owner_since.reset();
 }
 
 /// Asks the nodes that come before this one, or before the one that it goes by.
-void EnginePermits::look_around() {
+void EnginePermits::update_ownership() {
   const MonotonicTime now = this->io.runtime.now();
-  std::erase_if(this->keeping, [this](const auto& entry) { return !this->limited(entry.first); });
+  std::erase_if(this->owned_limits,
+                [this](const auto& entry) { return !this->limited(entry.first); });
   for (const auto& [engine, view] : this->io.engines.all()) {
     if (!this->limited(engine)) continue;
-    this->in_charge(engine, this->kept(engine));
-    for (const NodeId& node : this->choice.to_ask(now, engine)) {
-      this->call(node, engine, 0, std::nullopt);
+    this->is_owner(engine, this->owned_limit(engine));
+    for (const NodeId& node : this->owner_selector.to_ask(now, engine)) {
+      this->send_call(node, engine, 0, std::nullopt);
     }
   }
 }
 
-EnginePermits::Kept& EnginePermits::kept(const EngineId& engine) {
-  Kept& kept = this->keeping[engine];
-  const double named = this->io.engines.limits().limit(engine).value_or(0);
+EnginePermits::OwnedLimit& EnginePermits::owned_limit(const EngineId& engine) {
+  OwnedLimit& owned = this->owned_limits[engine];
+  const double limit = this->io.engines.limits().limit(engine).value_or(0);
   const MonotonicTime now = this->io.runtime.now();
   // What was granted at a higher limit is void.
-  if (!kept.a_second || named < *kept.a_second) {
-    kept.schedule.begin(now, named);
-  } else if (named > *kept.a_second) {
-    kept.schedule.speed_up(now, *kept.a_second, named);
+  if (!owned.per_second || limit < *owned.per_second) {
+    owned.schedule.begin(now, limit);
+  } else if (limit > *owned.per_second) {
+    owned.schedule.speed_up(now, *owned.per_second, limit);
   }
-  kept.a_second = named;
-  return kept;
+  owned.per_second = limit;
+  return owned;
 }
 
-bool EnginePermits::in_charge(const EngineId& engine, Kept& kept) {
+bool EnginePermits::is_owner(const EngineId& engine, OwnedLimit& owned) {
   const MonotonicTime now = this->io.runtime.now();
-  if (this->alone) return true;
-  this->notice_standstill();
+  if (this->standalone) return true;
+  this->detect_stall();
   if (this->peers == nullptr || !this->nodes_known ||
-      this->choice.keeper(now, engine) != this->self) {
-    kept.in_charge_since.reset();
+      this->owner_selector.keeper(now, engine) != this->self) {
+    owned.owner_since.reset();
     return false;
   }
-  if (!kept.in_charge_since) {
+  if (!owned.owner_since) {
     // Who comes first has been in charge for as long as it has run.
-    kept.in_charge_since = this->choice.is_first(engine) ? this->calm_since : now;
-    kept.schedule.begin(now, *kept.a_second);
+    owned.owner_since = this->owner_selector.is_first(engine) ? this->stable_since : now;
+    owned.schedule.begin(now, *owned.per_second);
     log_event(LogArea::kControl, LogLevel::kInfo, "keeps_limit",
               {{"engine", engine.value()},
-               {"a_second", *kept.a_second},
-               {"first", this->choice.is_first(engine)}});
+               {"a_second", *owned.per_second},
+               {"first", this->owner_selector.is_first(engine)}});
   }
   return true;
 }
 
 /// Decides as the keeper, if this node is it.
-EnginePermits::Grant EnginePermits::keep(const EngineId& engine,
-                                         const std::optional<PermitSpan>& span) {
+EnginePermits::Decision EnginePermits::decide(const EngineId& engine,
+                                              const std::optional<SendWindow>& window) {
   const MonotonicTime now = this->io.runtime.now();
-  Kept& own = this->kept(engine);
-  if (!this->in_charge(engine, own)) return {PermitVerdict::kNotTheKeeper, now, now};
-  const MonotonicTime first =
-      own.in_charge_since ? *own.in_charge_since + kFirstGrantAfter : MonotonicTime{};
-  if (now < first) return {PermitVerdict::kLater, first, first};
-  const double heard = this->alone ? 1 : this->peers->share_heard();
-  const double rate = *own.a_second * (heard > kMostOfFleet ? 1 : heard);
-  if (!span) return {PermitVerdict::kLater, now, own.schedule.next(now, rate)};
-  const MonotonicTime earliest = now + span->earliest;
-  const auto leaves = own.schedule.take(earliest, rate, earliest + span->longest_wait);
-  const MonotonicTime next = own.schedule.next(now, rate);
-  if (!leaves) return {PermitVerdict::kLater, next, next};
-  return {PermitVerdict::kGranted, *leaves, next};
+  OwnedLimit& owned = this->owned_limit(engine);
+  if (!this->is_owner(engine, owned)) return {PermitVerdict::kNotTheKeeper, now, now};
+  const MonotonicTime granting_from =
+      owned.owner_since ? *owned.owner_since + kTakeoverDelay : MonotonicTime{};
+  if (now < granting_from) return {PermitVerdict::kLater, granting_from, granting_from};
+  const double live_fraction = this->standalone ? 1 : this->peers->live_fraction();
+  const double rate = *owned.per_second * (live_fraction > kMaxMinorityShare ? 1 : live_fraction);
+  if (!window) return {PermitVerdict::kLater, now, owned.schedule.next(now, rate)};
+  const MonotonicTime earliest = now + window->earliest;
+  const auto send_at = owned.schedule.take(earliest, rate, earliest + window->max_wait);
+  const MonotonicTime next = owned.schedule.next(now, rate);
+  if (!send_at) return {PermitVerdict::kLater, next, next};
+  return {PermitVerdict::kGranted, *send_at, next};
 }
 
-void EnginePermits::ask(const EngineId& engine, const PermitSpan& span, Handler handler) {
+void EnginePermits::acquire(const EngineId& engine, const SendWindow& window, Handler handler) {
   const MonotonicTime now = this->io.runtime.now();
-  if (auto permit = this->take_spare(engine, now + span.earliest)) {
+  if (auto permit = this->take_returned(engine, now + window.earliest)) {
     return handler(std::move(permit));
   }
-  const auto keeper = this->choice.keeper(now, engine);
-  const bool reached = this->peers != nullptr && this->nodes_known;
-  if (reached && keeper && *keeper != this->self) {
-    return this->ask_keeper(*keeper, engine, span, std::move(handler));
+  const auto owner = this->owner_selector.keeper(now, engine);
+  const bool connected = this->peers != nullptr && this->nodes_known;
+  if (connected && owner && *owner != this->self) {
+    return this->acquire_from_owner(*owner, engine, window, std::move(handler));
   }
-  const Grant grant = this->keep(engine, span);
-  const bool granted = grant.verdict == PermitVerdict::kGranted;
+  const Decision decision = this->decide(engine, window);
+  const bool granted = decision.verdict == PermitVerdict::kGranted;
   this->io.metrics.count_permit(granted ? "granted" : "later");
-  this->io.engines.on_next_permit(
-      engine, grant.verdict == PermitVerdict::kNotTheKeeper ? now + kCallLife : grant.next);
+  this->io.engines.on_next_permit(engine, decision.verdict == PermitVerdict::kNotTheKeeper
+                                              ? now + kCallTimeout
+                                              : decision.next_at);
   if (!granted) return handler(std::nullopt);
-  handler(SendPermit{engine, grant.leaves, grant.leaves + kPermitLife,
+  handler(SendPermit{engine, decision.send_at, decision.send_at + kPermitLifetime,
                      this->io.engines.limits().limit(engine).value_or(0)});
 }
 
-void EnginePermits::ask_keeper(const NodeId& keeper, const EngineId& engine, const PermitSpan& span,
-                               Handler handler) {
-  const std::uint64_t number = ++this->numbers;
-  Pending& waiting = this->pending[number];
-  waiting.engine = engine;
-  waiting.sent_at = this->io.runtime.now();
-  waiting.handler = std::move(handler);
-  waiting.timer =
-      this->io.runtime.after(kCallLife, [this, number] { this->on_unanswered(number); });
-  this->call(keeper, engine, number, span);
+void EnginePermits::acquire_from_owner(const NodeId& owner, const EngineId& engine,
+                                       const SendWindow& window, Handler handler) {
+  const std::uint64_t number = ++this->last_call_number;
+  PendingCall& pending = this->pending_calls[number];
+  pending.engine = engine;
+  pending.sent_at = this->io.runtime.now();
+  pending.handler = std::move(handler);
+  pending.timer =
+      this->io.runtime.after(kCallTimeout, [this, number] { this->on_call_timeout(number); });
+  this->send_call(owner, engine, number, window);
 }
 
-void EnginePermits::call(const NodeId& node, const EngineId& engine, std::uint64_t number,
-                         const std::optional<PermitSpan>& span) {
+void EnginePermits::send_call(const NodeId& node, const EngineId& engine, std::uint64_t number,
+                              const std::optional<SendWindow>& window) {
   if (this->peers == nullptr) return;
-  this->choice.on_asked(this->io.runtime.now(), node);
+  this->owner_selector.on_asked(this->io.runtime.now(), node);
   PermitCall call;
   call.node = this->self;
-  call.boot = this->boot;
+  call.boot = this->boot_id;
   call.number = number;
   call.engine = engine;
-  call.wants_permit = span.has_value();
-  if (span) {
-    call.earliest_ms = to_message_ms(span->earliest);
-    call.longest_wait_ms = to_message_ms(span->longest_wait);
+  call.wants_permit = window.has_value();
+  if (window) {
+    call.earliest_ms = to_message_ms(window->earliest);
+    call.longest_wait_ms = to_message_ms(window->max_wait);
   }
-  call.limit = this->told_limit(engine);
+  call.limit = this->limit_report(engine);
   this->peers->send(node, encode(call));
 }
 
 /// Other engines are tried meanwhile: the keeper may be gone.
-void EnginePermits::on_unanswered(std::uint64_t number) {
-  const auto found = this->pending.find(number);
-  if (found == this->pending.end()) return;
-  const Pending waiting = std::move(found->second);
-  this->pending.erase(found);
+void EnginePermits::on_call_timeout(std::uint64_t number) {
+  const auto found = this->pending_calls.find(number);
+  if (found == this->pending_calls.end()) return;
+  const PendingCall pending = std::move(found->second);
+  this->pending_calls.erase(found);
   this->io.metrics.count_permit("unanswered");
   log_event(LogArea::kControl, LogLevel::kInfo, "permit_unanswered",
-            {{"engine", waiting.engine.value()}});
-  this->io.engines.on_next_permit(waiting.engine, this->io.runtime.now() + kCallLife);
-  waiting.handler(std::nullopt);
+            {{"engine", pending.engine.value()}});
+  this->io.engines.on_next_permit(pending.engine, this->io.runtime.now() + kCallTimeout);
+  pending.handler(std::nullopt);
 }
 
 void EnginePermits::on_call(const PermitCall& call) {
   if (this->peers == nullptr) return;
-  this->choice.on_heard(call.node);
-  this->take_limit(call.engine, call.limit);
+  this->owner_selector.on_heard(call.node);
+  this->on_limit_report(call.engine, call.limit);
   const MonotonicTime now = this->io.runtime.now();
   PermitAnswer answer;
   answer.node = this->self;
@@ -209,44 +212,45 @@
   answer.number = call.number;
   answer.engine = call.engine;
   if (this->limited(call.engine)) {
-    const PermitSpan span{std::chrono::milliseconds(call.earliest_ms),
-                          std::chrono::milliseconds(call.longest_wait_ms)};
-    const Grant grant =
-        this->keep(call.engine, call.wants_permit ? std::optional(span) : std::nullopt);
-    answer.verdict = grant.verdict;
-    answer.leaves_in_ms = to_message_ms_up(grant.leaves - now);
-    answer.next_in_ms = to_message_ms_up(grant.next - now);
+    const SendWindow window{std::chrono::milliseconds(call.earliest_ms),
+                            std::chrono::milliseconds(call.longest_wait_ms)};
+    const Decision decision =
+        this->decide(call.engine, call.wants_permit ? std::optional(window) : std::nullopt);
+    answer.verdict = decision.verdict;
+    answer.leaves_in_ms = to_message_ms_ceil(decision.send_at - now);
+    answer.next_in_ms = to_message_ms_ceil(decision.next_at - now);
   }
-  answer.limit = this->told_limit(call.engine);
+  answer.limit = this->limit_report(call.engine);
   this->peers->send(call.node, encode(answer));
 }
 
 void EnginePermits::on_answer(const PermitAnswer& answer) {
-  if (answer.boot != this->boot) return;
-  this->choice.on_heard(answer.node);
-  this->take_limit(answer.engine, answer.limit);
-  const auto found = this->pending.find(answer.number);
-  if (found == this->pending.end()) return;
-  Pending waiting = std::move(found->second);
-  this->pending.erase(found);
-  waiting.timer.reset();
+  if (answer.boot != this->boot_id) return;
+  this->owner_selector.on_heard(answer.node);
+  this->on_limit_report(answer.engine, answer.limit);
+  const auto found = this->pending_calls.find(answer.number);
+  if (found == this->pending_calls.end()) return;
+  PendingCall pending = std::move(found->second);
+  this->pending_calls.erase(found);
+  pending.timer.reset();
   const MonotonicTime now = this->io.runtime.now();
   const bool granted = answer.verdict == PermitVerdict::kGranted;
-  const bool knows = answer.verdict != PermitVerdict::kNotTheKeeper;
-  this->io.metrics.count_permit(granted ? "granted" : knows ? "later" : "not_the_keeper");
+  const bool from_owner = answer.verdict != PermitVerdict::kNotTheKeeper;
+  this->io.metrics.count_permit(granted ? "granted" : from_owner ? "later" : "not_the_keeper");
   const Duration next =
-      knows ? std::chrono::milliseconds(answer.next_in_ms) : Duration(kAskKeeperAgain);
+      from_owner ? std::chrono::milliseconds(answer.next_in_ms) : Duration(kAskKeeperAgain);
   this->io.engines.on_next_permit(answer.engine, now + next);
-  if (!granted) return waiting.handler(std::nullopt);
+  if (!granted) return pending.handler(std::nullopt);
   // The keeper counts from some moment between the call and its answer.
-  const std::chrono::milliseconds leaves(answer.leaves_in_ms);
-  waiting.handler(SendPermit{answer.engine, now + leaves, waiting.sent_at + leaves + kPermitLife,
+  const std::chrono::milliseconds delay(answer.leaves_in_ms);
+  pending.handler(SendPermit{answer.engine, now + delay, pending.sent_at + delay + kPermitLifetime,
                              answer.limit.a_second.value_or(0)});
 }
 
 bool EnginePermits::usable(const SendPermit& permit) const {
   const auto limit = this->io.engines.limits().limit(permit.engine);
-  return this->io.runtime.now() <= permit.until && (!limit || *limit >= permit.a_second);
+  return this->io.runtime.now() <= permit.valid_until &&
+         (!limit || *limit >= permit.limit_per_second);
 }
 
 bool EnginePermits::may_send(const EngineId& engine,
@@ -255,28 +259,31 @@
   return permit && permit->engine == engine && this->usable(*permit);
 }
 
-void EnginePermits::give_back(const SendPermit& permit) {
-  if (!this->usable(permit) || this->spare.size() >= kMostSpare) return;
-  this->spare.push_back(permit);
+void EnginePermits::release(const SendPermit& permit) {
+  if (!this->usable(permit) || this->returned_permits.size() >= kMaxReturnedPermits) return;
+  this->returned_permits.push_back(permit);
 }
 
-std::optional<SendPermit> EnginePermits::take_spare(const EngineId& engine,
-                                                    MonotonicTime needed_at) {
-  std::erase_if(this->spare, [this](const SendPermit& permit) { return !this->usable(permit); });
-  const auto found = std::find_if(
-      this->spare.begin(), this->spare.end(),
-      [&](const SendPermit& one) { return one.engine == engine && one.until >= needed_at; });
-  if (found == this->spare.end()) return std::nullopt;
+std::optional<SendPermit> EnginePermits::take_returned(const EngineId& engine,
+                                                       MonotonicTime needed_at) {
+  std::erase_if(this->returned_permits,
+                [this](const SendPermit& permit) { return !this->usable(permit); });
+  const auto found =
+      std::find_if(this->returned_permits.begin(), this->returned_permits.end(),
+                   [&](const SendPermit& candidate) {
+                     return candidate.engine == engine && candidate.valid_until >= needed_at;
+                   });
+  if (found == this->returned_permits.end()) return std::nullopt;
   SendPermit permit = std::move(*found);
-  this->spare.erase(found);
+  this->returned_permits.erase(found);
   return permit;
 }
 
-void EnginePermits::take_limit(const EngineId& engine, const ToldLimit& told) {
-  this->io.listener.on_peer_limit({engine, to_heard(told, this->io.runtime.now())});
+void EnginePermits::on_limit_report(const EngineId& engine, const ToldLimit& report) {
+  this->io.listener.on_peer_limit({engine, to_heard(report, this->io.runtime.now())});
 }
 
-ToldLimit EnginePermits::told_limit(const EngineId& engine) const {
+ToldLimit EnginePermits::limit_report(const EngineId& engine) const {
   const HeardLimit* known = this->io.engines.limits().find(engine);
   if (known == nullptr) return {std::nullopt, kHighestLimitAge};
   return to_told(*known, this->io.runtime.now());
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -32,22 +32,22 @@
 
 /// A permit is good for so long from its time: as long as a connection over a slow link may take.
 /// The sends of a window are the permits of that much more.
-constexpr Duration kPermitLife = std::chrono::milliseconds(400);
+constexpr Duration kPermitLifetime = std::chrono::milliseconds(400);
 
 /// One send to an engine.
 struct SendPermit {
   EngineId engine;
-  MonotonicTime from{};   ///< Not before.
-  MonotonicTime until{};  ///< Its first byte leaves by then, or not at all.
-  double a_second = 0;    ///< The limit that it was granted under; void under a lower one.
+  MonotonicTime valid_from{};   ///< Not before.
+  MonotonicTime valid_until{};  ///< Its first byte leaves by then, or not at all.
+  double limit_per_second = 0;  ///< The limit that it was granted under; void under a lower one.
 
   bool operator==(const SendPermit&) const = default;
 };
 
 /// When a send that is asked for can be of use.
-struct PermitSpan {
-  Duration earliest{};      ///< From now: it cannot leave before.
-  Duration longest_wait{};  ///< From then on.
+struct SendWindow {
+  Duration earliest{};  ///< From now: it cannot leave before.
+  Duration max_wait{};  ///< From then on.
 };
 
 /// The permits of one node: those that it asks for, and those that it grants as a keeper.
@@ -57,7 +57,7 @@
   using Handler = std::function<void(std::optional<SendPermit>)>;
 
   /// @param seed tells this process from others of the same name.
-  EnginePermits(const EnginePermitsIo& own_io, std::uint64_t seed) : io(own_io), boot(seed) {}
+  EnginePermits(const EnginePermitsIo& own_io, std::uint64_t seed) : io(own_io), boot_id(seed) {}
 
   /// Sets the way to the other nodes, and this node's name among them. Until their list is known
   /// nothing is granted. Without a call of this the node is alone.
@@ -71,10 +71,10 @@
   }
 
   /// Asks for one send, which may have to wait for its time. The handler may be called at once.
-  void ask(const EngineId& engine, const PermitSpan& span, Handler handler);
+  void acquire(const EngineId& engine, const SendWindow& window, Handler handler);
 
   /// The permit was not used: nothing has reached the engine.
-  void give_back(const SendPermit& permit);
+  void release(const SendPermit& permit);
 
   /// The last question before the first byte leaves.
   /// @return whether a request may go to the engine now.
@@ -86,54 +86,54 @@
 
  private:
   /// An engine whose limit this node keeps, or may come to keep.
-  struct Kept {
+  struct OwnedLimit {
     PermitSchedule schedule;
-    std::optional<MonotonicTime> in_charge_since;
-    std::optional<double> a_second;  ///< That the schedule goes by.
+    std::optional<MonotonicTime> owner_since;
+    std::optional<double> per_second;  ///< That the schedule goes by.
   };
-  struct Pending {
+  struct PendingCall {
     EngineId engine;
     MonotonicTime sent_at{};
     Handler handler;
     std::unique_ptr<Timer> timer;
   };
-  struct Grant {
+  struct Decision {
     PermitVerdict verdict = PermitVerdict::kNotTheKeeper;
-    MonotonicTime leaves{};
-    MonotonicTime next{};
+    MonotonicTime send_at{};
+    MonotonicTime next_at{};
   };
 
   void tick();
-  void notice_standstill();
-  void look_around();
-  bool in_charge(const EngineId& engine, Kept& kept);
-  Kept& kept(const EngineId& engine);
+  void detect_stall();
+  void update_ownership();
+  bool is_owner(const EngineId& engine, OwnedLimit& owned);
+  OwnedLimit& owned_limit(const EngineId& engine);
   /// @param span unset where only a sign of life is asked for.
-  Grant keep(const EngineId& engine, const std::optional<PermitSpan>& span);
-  void ask_keeper(const NodeId& keeper, const EngineId& engine, const PermitSpan& span,
-                  Handler handler);
-  void call(const NodeId& node, const EngineId& engine, std::uint64_t number,
-            const std::optional<PermitSpan>& span);
-  void on_unanswered(std::uint64_t number);
-  std::optional<SendPermit> take_spare(const EngineId& engine, MonotonicTime needed_at);
+  Decision decide(const EngineId& engine, const std::optional<SendWindow>& window);
+  void acquire_from_owner(const NodeId& owner, const EngineId& engine, const SendWindow& window,
+                          Handler handler);
+  void send_call(const NodeId& node, const EngineId& engine, std::uint64_t number,
+                 const std::optional<SendWindow>& window);
+  void on_call_timeout(std::uint64_t number);
+  std::optional<SendPermit> take_returned(const EngineId& engine, MonotonicTime needed_at);
   bool usable(const SendPermit& permit) const;
-  void take_limit(const EngineId& engine, const ToldLimit& told);
-  ToldLimit told_limit(const EngineId& engine) const;
+  void on_limit_report(const EngineId& engine, const ToldLimit& report);
+  ToldLimit limit_report(const EngineId& engine) const;
 
   EnginePermitsIo io;
   NodeId self;
-  std::uint64_t boot;
-  bool alone = true;
+  std::uint64_t boot_id;
+  bool standalone = true;
   PermitPeers* peers = nullptr;
   bool nodes_known = false;
-  KeeperChoice choice{NodeId()};
-  MonotonicTime calm_since{};  ///< This node has run without a break, and known the others.
-  MonotonicTime looked_at{};
-  std::unordered_map<EngineId, Kept> keeping;
-  std::map<std::uint64_t, Pending> pending;
-  std::vector<SendPermit> spare;  ///< Given back and still good.
-  std::uint64_t numbers = 0;
-  std::unique_ptr<Periodic> ticks;
+  KeeperChoice owner_selector{NodeId()};
+  MonotonicTime stable_since{};  ///< This node has run without a break, and known the others.
+  MonotonicTime last_tick_at{};
+  std::unordered_map<EngineId, OwnedLimit> owned_limits;
+  std::map<std::uint64_t, PendingCall> pending_calls;
+  std::vector<SendPermit> returned_permits;  ///< Given back and still good.
+  std::uint64_t last_call_number = 0;
+  std::unique_ptr<Periodic> ticker;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/lease_keeper.cpp
+++ b/src/relay/lease_keeper.cpp
@@ -43,28 +43,30 @@
 
 void LeaseKeeper::tick() {
   if (stopped_ || !node_.ready()) return;
-  run();
-  const bool holds = authority().has_value();
-  if (holds != held_since_.has_value()) {
-    held_since_ = holds ? std::optional(runtime_.now()) : std::nullopt;
-    log_event(LogArea::kControl, LogLevel::kInfo, holds ? "lease_taken" : "lease_lost",
+  poll_lease();
+  const bool holding = authority().has_value();
+  if (holding != held_since_.has_value()) {
+    held_since_ = holding ? std::optional(runtime_.now()) : std::nullopt;
+    log_event(LogArea::kControl, LogLevel::kInfo, holding ? "lease_taken" : "lease_lost",
               {{"holder", holder_}, {"epoch", lease_.last_seen().record.epoch}});
   }
-  if (!holds) return;
+  if (!holding) return;
   for (const auto& handler : handlers_) handler();
 }
 
 /// A few nodes stand by closely; of the rest, one looks now and then in case those are all gone.
-void LeaseKeeper::pace_standby() {
+void LeaseKeeper::update_standby_interval() {
   const Fleet& fleet = node_.fleet();
-  const Duration renewed = settings_.lease.renew_every;
-  const Duration others = settings_.others_read_every * static_cast<std::int64_t>(fleet.nodes);
-  const bool close = fleet.rank < settings_.standbys;
-  lease_.set_standby_interval(close ? renewed : std::max(renewed, others));
+  const Duration renew_interval = settings_.lease.renew_every;
+  const Duration read_interval =
+      settings_.others_read_every * static_cast<std::int64_t>(fleet.nodes);
+  const bool is_standby = fleet.rank < settings_.standbys;
+  lease_.set_standby_interval(is_standby ? renew_interval
+                                         : std::max(renew_interval, read_interval));
 }
 
-void LeaseKeeper::run() {
-  pace_standby();
+void LeaseKeeper::poll_lease() {
+  update_standby_interval();
   switch (lease_.poll(runtime_.now(), true, runtime_.random_hex(kWriteIdBytes))) {
     case LeaseAction::kNothing:
       return;
@@ -91,7 +93,7 @@
 
 void LeaseKeeper::write() {
   const VersionedLease& lease = lease_.pending_write();
-  auto done =
+  auto handler =
       [this, alive = alive_](const tl::expected<store::StoredObject, store::StoreError>& written) {
         if (!*alive) return;
         const MonotonicTime now = runtime_.now();
@@ -102,10 +104,10 @@
       };
   const nlohmann::json content = lease_to_json(lease.record);
   if (lease.version == 0) {
-    store_.create(location_.kind, location_.name, content, settings_.call_timeout, done);
+    store_.create(location_.kind, location_.name, content, settings_.call_timeout, handler);
   } else {
     store_.replace(location_.kind, location_.name, lease.version, content, settings_.call_timeout,
-                   done);
+                   handler);
   }
 }
 
--- a/src/relay/lease_keeper.hpp
+++ b/src/relay/lease_keeper.hpp
@@ -53,8 +53,8 @@
 
  private:
   void tick();
-  void run();
-  void pace_standby();
+  void poll_lease();
+  void update_standby_interval();
   void read();
   void write();
 
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -259,7 +259,7 @@
     node_.listener().on_peer_trouble(trouble);
   }
   for (const ToldLimitNews& news : message.limits) node_.learn_limit(news.engine, news.limit);
-  node_.quarantine().learn(message.crashes);
+  node_.quarantine().on_peer_reports(message.crashes);
   if (on_revisions_) on_revisions_(message.seen);
   for (const PromptRead& read : message.reads) node_.learn_prompt_read(read);
 }
--- a/src/relay/permit_exchange.cpp
+++ b/src/relay/permit_exchange.cpp
@@ -8,8 +8,12 @@
 namespace shuntbank::relay {
 
 PermitExchange::PermitExchange(PeerTransport& own_transport, const PeerDirectory& own_peers,
-                               EnginePermits& own_permits, std::function<double()> share)
-    : transport(own_transport), peers(own_peers), permits(own_permits), heard(std::move(share)) {
+                               EnginePermits& own_permits,
+                               std::function<double()> own_live_fraction)
+    : transport(own_transport),
+      peers(own_peers),
+      permits(own_permits),
+      get_live_fraction(std::move(own_live_fraction)) {
   this->permits.connect(own_peers.own_name(), *this);
 }
 
--- a/src/relay/permit_exchange.hpp
+++ b/src/relay/permit_exchange.hpp
@@ -17,7 +17,7 @@
  public:
   /// All references outlive this. @param share of the listed nodes that is heard of now.
   PermitExchange(PeerTransport& own_transport, const PeerDirectory& own_peers,
-                 EnginePermits& own_permits, std::function<double()> share);
+                 EnginePermits& own_permits, std::function<double()> own_live_fraction);
 
   /// The list of nodes has come, or has changed.
   void update_nodes();
@@ -25,13 +25,13 @@
   void on_message(std::string_view bytes);
 
   void send(const NodeId& node, const std::string& bytes) override;
-  double share_heard() const override { return this->heard(); }
+  double live_fraction() const override { return this->get_live_fraction(); }
 
  private:
   PeerTransport& transport;
   const PeerDirectory& peers;
   EnginePermits& permits;
-  std::function<double()> heard;
+  std::function<double()> get_live_fraction;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/permit_peers.hpp
+++ b/src/relay/permit_peers.hpp
@@ -21,7 +21,7 @@
   virtual void send(const NodeId& node, const std::string& bytes) = 0;
 
   /// @return the share of the listed nodes that is heard of now, this one included.
-  virtual double share_heard() const = 0;
+  virtual double live_fraction() const = 0;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/policy_options.hpp
+++ b/src/relay/policy_options.hpp
@@ -13,7 +13,7 @@
 namespace shuntbank::relay {
 
 /// What a command line asks for.
-struct PolicyRequest {
+struct PolicyCommandLine {
   RelaySettings settings;
   bool help = false;  ///< Only the options are to be shown.
 };
@@ -22,7 +22,7 @@
 boost::program_options::options_description policy_options(RelaySettings& settings);
 
 /// Takes options over into settings. @return the settings, or what is wrong with the command line.
-tl::expected<PolicyRequest, Findings> take_policy_options(int argc, const char* const* argv,
-                                                          const RelaySettings& settings);
+tl::expected<PolicyCommandLine, Findings> parse_policy_options(int argc, const char* const* argv,
+                                                               const RelaySettings& settings);
 
 }  // namespace shuntbank::relay
--- a/src/relay/quarantine.hpp
+++ b/src/relay/quarantine.hpp
@@ -39,12 +39,12 @@
   Quarantine& operator=(const Quarantine&) = delete;
 
   /// @return whether nothing is known against any request, so that none needs an identity.
-  bool idle() const { return this->ledger.empty(); }
+  bool empty() const { return this->ledger.empty(); }
 
-  CrashStanding standing(const TriedRequest& tried) const;
+  CrashStanding status(const TriedRequest& attempt) const;
 
   /// @return the engines at which other suspects are under way.
-  std::set<EngineKey> engines_on_trial(const RequestIdentity& request) const;
+  std::set<EngineKey> trial_engines(const RequestIdentity& request) const;
 
   /// A suspect is sent to an engine, or the engine has it no more.
   void begin_trial(const RequestIdentity& request, const EngineId& engine);
@@ -52,85 +52,89 @@
 
   /// An engine broke a request off that it was sent at `sent_at`; or was given up, having said
   /// nothing for a while.
-  void on_broken(const TriedRequest& tried, const EngineId& engine, MonotonicTime sent_at);
-  void on_silent(const TriedRequest& tried, const EngineId& engine, MonotonicTime sent_at);
+  void on_interrupted(const TriedRequest& attempt, const EngineId& engine, MonotonicTime sent_at);
+  void on_unresponsive(const TriedRequest& attempt, const EngineId& engine, MonotonicTime sent_at);
 
   /// An engine gave a whole answer: nothing is wrong with the request.
-  void on_answered(const RequestIdentity& request);
+  void on_completed(const RequestIdentity& request);
 
   /// A try ended without one. The caller may come again, at any node.
-  void on_failed(const RequestIdentity& request);
+  void on_attempt_failed(const RequestIdentity& request);
 
   /// A request that is held back has come again.
-  void on_held_again(const RequestIdentity& request);
+  void extend_quarantine(const RequestIdentity& request);
 
   /// An engine has ended.
-  void on_engine_ended(const EngineId& engine);
+  void on_engine_crashed(const EngineId& engine);
 
   /// An engine has answered what it was sent at `sent_at`.
   void on_engine_answered(const EngineId& engine, MonotonicTime sent_at);
 
   /// An operator speaks for a request. @return whether it was held back.
-  bool lift(const RequestIdentity& request);
+  bool release(const RequestIdentity& request);
 
   /// @return all requests that are held back.
-  std::vector<HeldRequest> held() const;
+  std::vector<HeldRequest> quarantined() const;
 
   /// Takes over from the store what an earlier life has held back.
-  void restore(const std::vector<HeldRequest>& held);
+  void restore(const std::vector<HeldRequest>& entries);
 
   /// @return what is to be told to the other nodes now.
   std::vector<CrashReport> take_reports();
 
   /// Takes what other nodes have told.
-  void learn(const std::vector<CrashReport>& reports);
+  void on_peer_reports(const std::vector<CrashReport>& reports);
 
   /// Sets what is called when there is news for the other nodes.
-  void on_news(std::function<void()> handler) { this->news = std::move(handler); }
+  void on_reports_pending(std::function<void()> handler) {
+    this->reports_pending_handler = std::move(handler);
+  }
 
   /// Sets what is called when other requests are held back than before. @param own this node saw an
   /// engine end under the request or was told by an operator; otherwise it has heard of it.
-  using HeldHandler = std::function<void(bool own)>;
-  void on_held_changed(HeldHandler handler) { this->held_changed = std::move(handler); }
+  using ChangeHandler = std::function<void(bool own)>;
+  void on_quarantine_changed(ChangeHandler handler) { this->change_handler = std::move(handler); }
 
  private:
   /// News on its way to the other nodes.
-  struct Telling {
-    CrashNews news = CrashNews::kBroken;
+  struct PendingReport {
+    CrashNews event = CrashNews::kBroken;
     RequestIdentity request;
     EngineKey engine = 0;
     CallerKey caller = 0;
     MonotonicTime at{};
-    int told = 0;
-    MonotonicTime next{};
+    int send_count = 0;
+    MonotonicTime next_send_at{};
   };
-  bool may_have_ended_it(const EngineId& engine, MonotonicTime sent_at) const;
+  bool may_have_crashed(const EngineId& engine, MonotonicTime sent_at) const;
   /// @return whether anything is known against a request, whoever sends it.
-  bool suspects(const RequestIdentity& request) const;
-  void tell(CrashNews what, const TriedRequest& tried, EngineKey engine, MonotonicTime at);
-  void tell_all(const RequestIdentity& request);
-  void learn_one(MonotonicTime now, const CrashReport& report);
-  void settle();
-  void ask(EngineKey key);
+  bool is_suspect(const RequestIdentity& request) const;
+  void queue_report(CrashNews event, const TriedRequest& attempt, EngineKey engine,
+                    MonotonicTime at);
+  void queue_evidence(const RequestIdentity& request);
+  void apply_report(MonotonicTime now, const CrashReport& report);
+  void process_ledger();
+  void check_liveness(EngineKey key);
   /// An engine that was asked whether it lives.
-  struct AskedEngine {
+  struct LivenessCheck {
     EngineId engine;
     std::uint64_t started_unix_ms = 0;
-    MonotonicTime at{};
+    MonotonicTime sent_at{};
   };
-  bool replaced(const AskedEngine& asked, const HttpReply& reply) const;
-  void on_reply(const AskedEngine& asked, const tl::expected<HttpReply, TransferError>& reply);
-  void note_held_changed(bool own);
-  void log_verdict(const HeldRequest& held, const char* source) const;
+  bool is_replaced(const LivenessCheck& check, const HttpReply& reply) const;
+  void on_liveness_reply(const LivenessCheck& check,
+                         const tl::expected<HttpReply, TransferError>& reply);
+  void notify_changed(bool own);
+  void log_quarantined(const HeldRequest& entry, const char* source) const;
   void tick();
 
   QuarantineIo io;
   CrashLedger ledger;
-  std::vector<Telling> tellings;
-  std::set<RequestIdentity> told;  ///< Other nodes have heard of them from this one.
-  std::function<void()> news;
-  HeldHandler held_changed;
-  std::unique_ptr<Periodic> ticking;
+  std::vector<PendingReport> pending_reports;
+  std::set<RequestIdentity> reported_requests;  ///< Other nodes have heard of them from this one.
+  std::function<void()> reports_pending_handler;
+  ChangeHandler change_handler;
+  std::unique_ptr<Periodic> ticker;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/relay/quarantine_api.cpp
+++ b/src/relay/quarantine_api.cpp
@@ -7,10 +7,10 @@
 namespace shuntbank::relay {
 namespace {
 
-constexpr std::string_view kList = "/quarantine";
-constexpr std::string_view kOne = "/quarantine/";
+constexpr std::string_view kListPath = "/quarantine";
+constexpr std::string_view kEntryPrefix = "/quarantine/";
 
-HttpReply reply_of(int status, const nlohmann::json& body) {
+HttpReply json_reply(int status, const nlohmann::json& body) {
   HttpReply reply;
   reply.status = status;
   reply.headers.add("Content-Type", "application/json");
@@ -18,38 +18,38 @@
   return reply;
 }
 
-HttpReply list(const Quarantine& quarantine) {
-  nlohmann::json held = nlohmann::json::array();
-  for (const HeldRequest& entry : quarantine.held()) {
-    held.push_back({{"identity", to_text(entry.request)},
-                    {"engines_ended", entry.ended.size()},
-                    {"callers", entry.callers.size()},
-                    {"from_all_callers", entry.for_all()},
-                    {"left_s", to_seconds(entry.left)}});
+HttpReply list_quarantined(const Quarantine& quarantine) {
+  nlohmann::json entries = nlohmann::json::array();
+  for (const HeldRequest& entry : quarantine.quarantined()) {
+    entries.push_back({{"identity", to_text(entry.request)},
+                       {"engines_ended", entry.ended.size()},
+                       {"callers", entry.callers.size()},
+                       {"from_all_callers", entry.for_all()},
+                       {"left_s", to_seconds(entry.left)}});
   }
-  return reply_of(http_status::kOk, {{"held", std::move(held)}});
+  return json_reply(http_status::kOk, {{"held", std::move(entries)}});
 }
 
-HttpReply let_go(std::string_view identity, Quarantine& quarantine) {
+HttpReply release(std::string_view identity, Quarantine& quarantine) {
   const auto request = parse_digest(identity);
-  if (!request) return reply_of(http_status::kBadRequest, {{"error", "not an identity"}});
-  if (quarantine.lift(*request)) return reply_of(http_status::kOk, {{"let_go", identity}});
-  return reply_of(http_status::kNotFound, {{"error", "it is not held back"}});
+  if (!request) return json_reply(http_status::kBadRequest, {{"error", "not an identity"}});
+  if (quarantine.release(*request)) return json_reply(http_status::kOk, {{"let_go", identity}});
+  return json_reply(http_status::kNotFound, {{"error", "it is not held back"}});
 }
 
 }  // namespace
 
 bool is_quarantine_path(std::string_view path) {
-  return path == kList || path.substr(0, kOne.size()) == kOne;
+  return path == kListPath || path.substr(0, kEntryPrefix.size()) == kEntryPrefix;
 }
 
 HttpReply answer_quarantine(const HttpRequest& request, Quarantine& quarantine) {
   const std::string_view path = request.path;
-  if (request.method == "GET" && path == kList) return list(quarantine);
-  if (request.method == "DELETE" && path != kList) {
-    return let_go(path.substr(kOne.size()), quarantine);
+  if (request.method == "GET" && path == kListPath) return list_quarantined(quarantine);
+  if (request.method == "DELETE" && path != kListPath) {
+    return release(path.substr(kEntryPrefix.size()), quarantine);
   }
-  return reply_of(http_status::kBadRequest, {{"error", "GET the list, or DELETE one of it"}});
+  return json_reply(http_status::kBadRequest, {{"error", "GET the list, or DELETE one of it"}});
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/quarantine_store.hpp
+++ b/src/relay/quarantine_store.hpp
@@ -18,12 +18,12 @@
   Duration call_timeout = std::chrono::milliseconds(1500);
   /// Between two tries while the store does not answer or others write at the same time. Known to
   /// the nodes that live, this is in no hurry.
-  Duration again = std::chrono::seconds(1);
+  Duration retry_interval = std::chrono::seconds(1);
   /// The node that saw it writes at once. Another one looks behind it so much later, as the first
   /// may have died meanwhile.
-  Duration look_after = std::chrono::seconds(2);
+  Duration follow_up_delay = std::chrono::seconds(2);
   /// Requests in the object; those that are held back longest from now stay. 300 bytes each.
-  std::size_t most_requests = 200;
+  std::size_t max_requests = 200;
 };
 
 /// Reads once, when the process starts; writes when this node comes to hold a request back or lets
@@ -38,22 +38,22 @@
   QuarantineStore& operator=(const QuarantineStore&) = delete;
 
  private:
-  using Answer = tl::expected<store::StoredObject, store::StoreError>;
+  using StoreResult = tl::expected<store::StoredObject, store::StoreError>;
 
-  void on_held_changed(bool own);
-  void call(Duration delay);
+  void on_quarantine_changed(bool own);
+  void schedule_read(Duration delay);
   void read();
-  void on_read(const Answer& answer);
-  void write(const Answer& answer);
-  void on_written(const Answer& answer);
+  void on_read(const StoreResult& answer);
+  void write(const StoreResult& answer);
+  void on_written(const StoreResult& answer);
   nlohmann::json content() const;
 
   Runtime& runtime;
   store::ObjectStore& store;
   RelayNode& node;
   QuarantineStoreSettings settings;
-  bool calling = false;
-  bool changed = false;  ///< What this node holds back differs from what it has written.
+  bool call_pending = false;
+  bool dirty = false;  ///< What this node holds back differs from what it has written.
   std::unique_ptr<Timer> timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/src/relay/relay_context.cpp
+++ b/src/relay/relay_context.cpp
@@ -13,7 +13,7 @@
 }
 
 void RelayContext::note_engine_ended(const EngineId& engine) {
-  quarantine.on_engine_ended(engine);
+  quarantine.on_engine_crashed(engine);
   EngineView* view = engines.find(engine);
   if (view == nullptr || std::exchange(view->ended, true)) return;
   metrics.count_engine_ended(view->record.service.value());
--- a/src/relay/relay_metrics.cpp
+++ b/src/relay/relay_metrics.cpp
@@ -47,7 +47,7 @@
           .Name("shuntbank_relay_engines_ended_total")
           .Help("Engines at whose address nobody listened any more")
           .Register(registry);
-  prometheus::Family<prometheus::Counter>& held_back =
+  prometheus::Family<prometheus::Counter>& quarantined =
       prometheus::BuildCounter()
           .Name("shuntbank_relay_requests_held_back_total")
           .Help("Requests that this node came to hold back, by where it knew of them from")
@@ -102,9 +102,9 @@
 RelayMetrics::~RelayMetrics() = default;
 
 void RelayMetrics::count_request(const std::string& service, const std::string& result,
-                                 Duration took) {
+                                 Duration elapsed) {
   impl_->requests.Add({{"service", service}, {"result", result}}).Increment();
-  impl_->duration.Add({{"service", service}}, kSecondsBuckets).Observe(to_seconds(took));
+  impl_->duration.Add({{"service", service}}, kSecondsBuckets).Observe(to_seconds(elapsed));
 }
 
 void RelayMetrics::count_attempt(const std::string& service, const std::string& step) {
@@ -127,8 +127,8 @@
   impl_->engines_ended.Add({{"service", service}}).Increment();
 }
 
-void RelayMetrics::count_engine_notice(const std::string& word) {
-  impl_->engine_notices.Add({{"word", word}}).Increment();
+void RelayMetrics::count_engine_notice(const std::string& kind) {
+  impl_->engine_notices.Add({{"word", kind}}).Increment();
 }
 
 void RelayMetrics::count_wait_for_return(const std::string& service) {
@@ -139,8 +139,8 @@
   impl_->permits.Add({{"outcome", outcome}}).Increment();
 }
 
-void RelayMetrics::count_held_back(const std::string& source) {
-  impl_->held_back.Add({{"source", source}}).Increment();
+void RelayMetrics::count_quarantined(const std::string& source) {
+  impl_->quarantined.Add({{"source", source}}).Increment();
 }
 
 void RelayMetrics::count_key_refused() {
@@ -155,8 +155,8 @@
   impl_->usage_windows.Add({{"result", result}}).Increment();
 }
 
-void RelayMetrics::observe_first_event(const std::string& service, Duration took) {
-  impl_->first_event.Add({{"service", service}}, kSecondsBuckets).Observe(to_seconds(took));
+void RelayMetrics::observe_first_event(const std::string& service, Duration elapsed) {
+  impl_->first_event.Add({{"service", service}}, kSecondsBuckets).Observe(to_seconds(elapsed));
 }
 
 void RelayMetrics::set_gauge(const std::string& name, double value) {
--- a/src/relay/relay_metrics.hpp
+++ b/src/relay/relay_metrics.hpp
@@ -18,7 +18,7 @@
   RelayMetrics& operator=(const RelayMetrics&) = delete;
 
   /// A request ended. @param result such as `answered`, `refused`, `failed`, `caller_gone`.
-  void count_request(const std::string& service, const std::string& result, Duration took);
+  void count_request(const std::string& service, const std::string& result, Duration elapsed);
 
   /// An attempt was sent. @param step `plain`, `prefill` or `decode`.
   void count_attempt(const std::string& service, const std::string& step);
@@ -37,7 +37,7 @@
 
   /// An engine has said something of itself beside an answer. @param word `leaving`, `rest`,
   /// `limit`, `limit_ended` or `unreadable`.
-  void count_engine_notice(const std::string& word);
+  void count_engine_notice(const std::string& kind);
 
   /// A request is kept until an engine that rests takes requests again.
   void count_wait_for_return(const std::string& service);
@@ -47,7 +47,7 @@
   void count_permit(const std::string& outcome);
 
   /// A request is held back from now on. @param source `seen`, `heard` or `store`.
-  void count_held_back(const std::string& source);
+  void count_quarantined(const std::string& source);
 
   /// A request without a tenant's key in force was refused.
   void count_key_refused();
@@ -59,7 +59,7 @@
   void count_usage_window(const std::string& result);
 
   /// The first event of a stream was passed on.
-  void observe_first_event(const std::string& service, Duration took);
+  void observe_first_event(const std::string& service, Duration elapsed);
 
   /// Sets a gauge such as `config_version` or `config_age_seconds`.
   void set_gauge(const std::string& name, double value);
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -38,8 +38,8 @@
                {},         {},       {},          {},        {}},
       splits_(random_fraction(io.runtime)),
       slack_from_(io.runtime.now() + counted_for(settings.retry_budget)) {
-  quarantine_.on_news([this] { context_.note_load(); });
-  listener_.on_limit_news([this](const LimitNews& news) { context_.note_limit(news); });
+  quarantine_.on_reports_pending([this] { context_.note_load(); });
+  listener_.on_limit_changed([this](const LimitNews& news) { context_.note_limit(news); });
   listener_.on_trouble([this](const EngineTrouble& trouble) { context_.note_trouble(trouble); });
 }
 
@@ -90,18 +90,18 @@
   const EngineView* before = engines_.find_named(record.own_name());
   const bool moved = before != nullptr && before->record.address != record.address;
   if (moved && address_free_) address_free_(before->record.address);
-  if (quarantine_.idle()) return;
+  if (quarantine_.empty()) return;
   for (const auto& [id, engine] : engines_.all()) {
     const bool same =
         engine.record.address == record.address || engine.record.own_name() == record.own_name();
-    if (id != record.id && same) quarantine_.on_engine_ended(id);
+    if (id != record.id && same) quarantine_.on_engine_crashed(id);
   }
 }
 
 /// An engine that has not said that it leaves has ended when the list lacks it.
 void RelayNode::note_unlisted(const EngineId& engine) {
   const EngineView* view = engines_.find(engine);
-  if (view != nullptr && !view->record.draining) quarantine_.on_engine_ended(engine);
+  if (view != nullptr && !view->record.draining) quarantine_.on_engine_crashed(engine);
 }
 
 void RelayNode::set_engine(const EngineRecord& record) {
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -397,7 +397,7 @@
   give_back(permit_);
   release_engine();
   release_handle();
-  if (identity_ && result != kAnswered) context_.quarantine.on_failed(identity_->request);
+  if (identity_ && result != kAnswered) context_.quarantine.on_attempt_failed(identity_->request);
   const MonotonicTime now = context_.runtime.now();
   context_.metrics.count_request(service_name_.value(), result, now - arrived_);
   log_event(LogArea::kCallers, LogLevel::kInfo, "request_ended",
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -46,7 +46,7 @@
   if (step_ != Step::kPrefill && is_success(status) && !sealed) broken_ = true;
   // A misdirected request is answered by another engine; what does not echo the id is not trusted.
   if (!broken_ && status != http_status::kMisdirected) {
-    context_.listener.on_head(engine_, status, headers, id_);
+    context_.listener.on_response_head(engine_, status, headers, id_);
   }
   if (step_ == Step::kPrefill) return;
   streaming_ = !broken_ && route_.kind == RouteKind::kStream && is_success(status);
@@ -228,7 +228,7 @@
   if (const auto pause = stream_.mean_pause()) {
     context_.engines.model_of(service_name_).on_stream_pace(*pause);
   }
-  if (identity_) context_.quarantine.on_answered(identity_->request);
+  if (identity_) context_.quarantine.on_completed(identity_->request);
   handle_.clear();
   if (!history_.head_forwarded) begin_stream();
   responder_->finish();
@@ -240,7 +240,7 @@
   const bool own_failure = status_ >= http_status::kInternalError;
   note_health(own_failure ? AttemptHealth::kFailed : AttemptHealth::kGood);
   context_.engines.on_latency(engine_, now - sent_at_);
-  if (identity_) context_.quarantine.on_answered(identity_->request);
+  if (identity_) context_.quarantine.on_completed(identity_->request);
   if (own_failure && (route_.idempotent() || history_.head_forwarded)) {
     keep_failure_answer();
     return attempt_failed(AttemptOutcome::kUncertain, "status " + std::to_string(status_));
--- a/src/relay/relay_session_permit.cpp
+++ b/src/relay/relay_session_permit.cpp
@@ -28,13 +28,13 @@
   taker_ = choice.taker;
   const EngineView* view = context_.engines.find(taker_.engine);
   const Duration read_in = from_seconds(choice.placement.expected_ms / kMillisecondsASecond);
-  const Duration earliest = std::max(Duration::zero(), read_in - kPermitLife / 2);
+  const Duration earliest = std::max(Duration::zero(), read_in - kPermitLifetime / 2);
   const Duration known = view->permit_wait(context_.runtime.now());
   const Duration beyond = std::max(Duration::zero(), known - earliest);
-  context_.permits.ask(taker_.engine, {earliest, beyond + kMoreThanKnown},
-                       [self = shared_from_this(), reader](std::optional<SendPermit> permit) {
-                         self->on_taker_permit(reader, std::move(permit));
-                       });
+  context_.permits.acquire(taker_.engine, {earliest, beyond + kMoreThanKnown},
+                           [self = shared_from_this(), reader](std::optional<SendPermit> permit) {
+                             self->on_taker_permit(reader, std::move(permit));
+                           });
 }
 
 void RelaySession::on_taker_permit(const EngineId& reader, std::optional<SendPermit> permit) {
@@ -52,10 +52,11 @@
   if (!context_.permits.limited(engine)) return send(engine, step);
   const EngineView* view = context_.engines.find(engine);
   const Duration known = view->permit_wait(context_.runtime.now());
-  context_.permits.ask(engine, {Duration::zero(), known + kMoreThanKnown},
-                       [self = shared_from_this(), engine, step](std::optional<SendPermit> permit) {
-                         self->on_permit(engine, step, std::move(permit));
-                       });
+  context_.permits.acquire(
+      engine, {Duration::zero(), known + kMoreThanKnown},
+      [self = shared_from_this(), engine, step](std::optional<SendPermit> permit) {
+        self->on_permit(engine, step, std::move(permit));
+      });
 }
 
 void RelaySession::on_permit(const EngineId& engine, Step step, std::optional<SendPermit> permit) {
@@ -69,9 +70,9 @@
 
 void RelaySession::wait_for_permit() {
   const MonotonicTime now = context_.runtime.now();
-  if (permit_->from <= now) return use_permit();
-  log_attempt("waits_for_permit", std::to_string(whole_ms(permit_->from - now)) + " ms");
-  waiting_ = context_.runtime.after(permit_->from - now, [weak = weak_from_this()] {
+  if (permit_->valid_from <= now) return use_permit();
+  log_attempt("waits_for_permit", std::to_string(whole_ms(permit_->valid_from - now)) + " ms");
+  waiting_ = context_.runtime.after(permit_->valid_from - now, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->use_permit();
   });
 }
@@ -110,7 +111,7 @@
 
 void RelaySession::give_back(std::optional<SendPermit>& permit) {
   if (!permit) return;
-  context_.permits.give_back(*std::exchange(permit, std::nullopt));
+  context_.permits.release(*std::exchange(permit, std::nullopt));
 }
 
 /// The engine takes requests only later than was known: perhaps another one is better now.
--- a/src/relay/relay_session_quarantine.cpp
+++ b/src/relay/relay_session_quarantine.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 CrashStanding RelaySession::crash_standing() const {
-  return identity_ ? context_.quarantine.standing(*identity_) : CrashStanding();
+  return identity_ ? context_.quarantine.status(*identity_) : CrashStanding();
 }
 
 bool RelaySession::runs_apart() const {
@@ -42,7 +42,7 @@
 /// A request under which engines have ended one after the other gets its final answer at once. It
 /// protects all that runs at the next engine: in an incident up to ten streams each, at 49 engines.
 bool RelaySession::held_back() {
-  if (context_.quarantine.idle()) return false;
+  if (context_.quarantine.empty()) return false;
   identity_ = identity_of(request_, tenant_name());
   const CrashStanding standing = crash_standing();
   if (standing.held_for) {
@@ -58,7 +58,7 @@
 /// The status says that it has not run; that and the words tell the caller to mend the request. A
 /// client error would be truer of it, but says nothing about whether it has run.
 void RelaySession::answer_held_back(const CrashStanding& standing) {
-  context_.quarantine.on_held_again(identity_->request);
+  context_.quarantine.extend_quarantine(identity_->request);
   const std::string why = std::to_string(standing.ended) + " engines have ended under this request";
   log_attempt("held_back", why);
   HttpHeaders headers;
@@ -84,7 +84,7 @@
 void RelaySession::keep_apart() {
   apart_from_.clear();
   if (!crash_standing().suspect()) return;
-  apart_from_ = context_.quarantine.engines_on_trial(identity_->request);
+  apart_from_ = context_.quarantine.trial_engines(identity_->request);
 }
 
 /// The engine broke off what it had of the request. Tries of one request bear the same identity, so
@@ -98,13 +98,13 @@
              {"engine", engine_.value()},
              {"step", step_name()},
              {"after_ms", to_ms(context_.runtime.now() - sent_at_)}});
-  context_.quarantine.on_broken(*identity_, engine_, sent_at_);
+  context_.quarantine.on_interrupted(*identity_, engine_, sent_at_);
 }
 
 void RelaySession::note_silence() {
   if (context_.runtime.now() - heard_at_ < kSilence) return;
   if (!identity_) identity_ = identity_of(request_, tenant_name());
-  context_.quarantine.on_silent(*identity_, engine_, sent_at_);
+  context_.quarantine.on_unresponsive(*identity_, engine_, sent_at_);
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/role_coordinator.cpp
+++ b/src/relay/role_coordinator.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Calls to engines that wait for their answer at the same time.
-constexpr std::size_t kMostOrdersUnderWay = 32;
+constexpr std::size_t kMaxCallsInFlight = 32;
 
 }  // namespace
 
@@ -28,25 +28,25 @@
 
 void RoleCoordinator::plan() {
   if (node_.table() == nullptr) return;
-  while (orders_under_way_ < kMostOrdersUnderWay) {
+  while (calls_in_flight_ < kMaxCallsInFlight) {
     const auto change = planner_.next(io_.runtime.now(), node_.engines(), *node_.table());
     if (!change) return;
     const EngineView* engine = node_.engines().find(change->engine);
-    if (engine != nullptr) ask(engine->record, change->stage);
+    if (engine != nullptr) request_report(engine->record, change->stage);
   }
 }
 
 /// Asks how many orders the engine has taken, so that the order which follows is refused if another
 /// one, such as a late one of an earlier holder, comes between.
-void RoleCoordinator::ask(const EngineRecord& record, EngineStage stage) {
+void RoleCoordinator::request_report(const EngineRecord& record, EngineStage stage) {
   OutgoingRequest call = io_.dialect.ask_report(record.address, record.own_name());
   call.total_timeout = settings_.order_timeout;
   call.connect_timeout = settings_.order_timeout;
-  ++orders_under_way_;
+  ++calls_in_flight_;
   io_.http.fetch(std::move(call), [this, alive = alive_, record,
                                    stage](const tl::expected<HttpReply, TransferError>& reply) {
     if (!*alive) return;
-    --orders_under_way_;
+    --calls_in_flight_;
     if (reply && reply->status == http_status::kOk) on_report(record, stage, *reply);
   });
 }
@@ -59,15 +59,15 @@
   const std::uint64_t started = report->started_unix_ms.value_or(record.started_unix_ms);
   if (started != record.started_unix_ms) return;
   EngineListener& listener = node_.listener();
-  listener.on_head(record.id, reply.status, reply.headers);
-  if (report->leaving) listener.on_leaving(record.id);
+  listener.on_response_head(record.id, reply.status, reply.headers);
+  if (report->leaving) listener.on_draining(record.id);
   if (node_.engines().notices().leaving(record.id)) return;
   if (report->changing || report->stage == stage) return;
-  order(record, stage, *report);
+  send_order(record, stage, *report);
 }
 
-void RoleCoordinator::order(const EngineRecord& record, EngineStage stage,
-                            const EngineReport& report) {
+void RoleCoordinator::send_order(const EngineRecord& record, EngineStage stage,
+                                 const EngineReport& report) {
   // Right before the order leaves: a process that stood still may have lost the lease meanwhile.
   const auto fence = lease_.authority();
   if (!fence) return;
@@ -81,7 +81,7 @@
   OutgoingRequest call = io_.dialect.stage_order(order);
   call.total_timeout = settings_.order_timeout;
   call.connect_timeout = settings_.order_timeout;
-  ++orders_under_way_;
+  ++calls_in_flight_;
   log_event(LogArea::kControl, LogLevel::kInfo, "order_given",
             {{"engine", record.id.value()},
              {"stage", to_text(stage)},
@@ -90,7 +90,7 @@
   io_.http.fetch(std::move(call), [this, alive = alive_, id = record.id](
                                       const tl::expected<HttpReply, TransferError>& reply) {
     if (!*alive) return;
-    --orders_under_way_;
+    --calls_in_flight_;
     log_event(LogArea::kControl, LogLevel::kInfo, "order_answered",
               {{"engine", id.value()},
                {"status", reply ? reply->status : 0},
--- a/src/relay/role_coordinator.hpp
+++ b/src/relay/role_coordinator.hpp
@@ -27,16 +27,16 @@
 
  private:
   void plan();
-  void ask(const EngineRecord& record, EngineStage stage);
+  void request_report(const EngineRecord& record, EngineStage stage);
   void on_report(const EngineRecord& record, EngineStage stage, const HttpReply& reply);
-  void order(const EngineRecord& record, EngineStage stage, const EngineReport& report);
+  void send_order(const EngineRecord& record, EngineStage stage, const EngineReport& report);
 
   RelayIo io_;
   LeaseKeeper& lease_;
   RelayNode& node_;
   RoleCoordinatorSettings settings_;
   StagePlanner planner_;
-  std::size_t orders_under_way_ = 0;
+  std::size_t calls_in_flight_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -189,7 +189,7 @@
 }
 
 void ZoneExchange::take_news(const EngineNews& news) {
-  this->node.quarantine().learn(news.crashes);
+  this->node.quarantine().on_peer_reports(news.crashes);
   EngineDirectory& engines = this->node.engines();
   for (const KeyedRead& read : news.reads) {
     const EngineView* engine = engines.find_by_key(read.engine);
--- a/tests/core/relay/permit_schedule_test.cpp
+++ b/tests/core/relay/permit_schedule_test.cpp
@@ -54,8 +54,8 @@
       if (!leaves) continue;
       ++sends;
       window.push_back(*leaves);
-      while (window.front() <= *leaves - LimitJudge::kWindow) window.pop_front();
-      const double most = a_second * to_seconds(LimitJudge::kWindow) + kPermitBurst;
+      while (window.front() <= *leaves - LimitChecker::kWindow) window.pop_front();
+      const double most = a_second * to_seconds(LimitChecker::kWindow) + kPermitBurst;
       RC_ASSERT(static_cast<double>(window.size()) <= most + 0.001);
     }
     RC_ASSERT(sends >= 0.8 * a_second * 30 - 2);
--- a/tests/platform/notice_judge_test.cpp
+++ b/tests/platform/notice_judge_test.cpp
@@ -10,40 +10,40 @@
 namespace {
 
 constexpr MonotonicTime kNow{1000s};
-const NodeAndStart kPair{"n1", "e"};
+const NodeAndIncarnation kPair{"n1", "e"};
 
 }  // namespace
 
 Test(notice_judge, finds_what_was_sent_to_an_engine_long_after_it_said_that_it_leaves) {
-  NoticeJudge judge(2s);
-  judge.told_leaving(kNow, kPair);
-  judge.told_leaving(kNow + 1s, kPair);
-  cr_assert(judge.reaches(kNow + 2500ms, kPair, kNow + 1900ms).empty(), "sent before");
-  cr_assert(judge.reaches(kNow + 9s, {"n2", "e"}, kNow + 9s).empty(), "nobody told that node");
-  cr_assert_not(judge.reaches(kNow + 2500ms, kPair, kNow + 2s).empty());
-  judge.excuse_node("n1");
-  cr_assert(judge.reaches(kNow + 3s, kPair, kNow + 3s).empty());
+  NoticeChecker judge(2s);
+  judge.on_draining_received(kNow, kPair);
+  judge.on_draining_received(kNow + 1s, kPair);
+  cr_assert(judge.on_request(kNow + 2500ms, kPair, kNow + 1900ms).empty(), "sent before");
+  cr_assert(judge.on_request(kNow + 9s, {"n2", "e"}, kNow + 9s).empty(), "nobody told that node");
+  cr_assert_not(judge.on_request(kNow + 2500ms, kPair, kNow + 2s).empty());
+  judge.reset_node("n1");
+  cr_assert(judge.on_request(kNow + 3s, kPair, kNow + 3s).empty());
 }
 
 Test(notice_judge, finds_the_third_request_within_a_time_of_rest) {
-  NoticeJudge judge(2s);
-  judge.asked_for_rest(kNow, kPair, 3s);
+  NoticeChecker judge(2s);
+  judge.on_cooldown_requested(kNow, kPair, 3s);
   for (int i = 0; i < 5; ++i) {
-    cr_assert(judge.reaches(kNow + 500ms, kPair, kNow).empty(), "it was on its way");
+    cr_assert(judge.on_request(kNow + 500ms, kPair, kNow).empty(), "it was on its way");
   }
-  cr_assert(judge.reaches(kNow + 1s, kPair, kNow).empty());
-  cr_assert(judge.reaches(kNow + 2s, kPair, kNow).empty());
-  cr_assert(judge.reaches(kNow + 2s, {"n2", "e"}, kNow).empty());
-  cr_assert_not(judge.reaches(kNow + 2900ms, kPair, kNow).empty());
-  cr_assert(judge.reaches(kNow + 3s, kPair, kNow).empty(), "it is over");
+  cr_assert(judge.on_request(kNow + 1s, kPair, kNow).empty());
+  cr_assert(judge.on_request(kNow + 2s, kPair, kNow).empty());
+  cr_assert(judge.on_request(kNow + 2s, {"n2", "e"}, kNow).empty());
+  cr_assert_not(judge.on_request(kNow + 2900ms, kPair, kNow).empty());
+  cr_assert(judge.on_request(kNow + 3s, kPair, kNow).empty(), "it is over");
 }
 
 Test(notice_judge, holds_a_node_to_each_rest_that_was_asked_for) {
-  NoticeJudge judge(2s);
-  judge.asked_for_rest(kNow, kPair, 3s);
-  judge.asked_for_rest(kNow + 1s, kPair, 700ms);
-  for (int i = 0; i < 2; ++i) cr_assert(judge.reaches(kNow + 2500ms, kPair, kNow).empty());
-  cr_assert_not(judge.reaches(kNow + 2500ms, kPair, kNow).empty());
-  judge.excuse_rests("e");
-  cr_assert(judge.reaches(kNow + 2500ms, kPair, kNow).empty());
+  NoticeChecker judge(2s);
+  judge.on_cooldown_requested(kNow, kPair, 3s);
+  judge.on_cooldown_requested(kNow + 1s, kPair, 700ms);
+  for (int i = 0; i < 2; ++i) cr_assert(judge.on_request(kNow + 2500ms, kPair, kNow).empty());
+  cr_assert_not(judge.on_request(kNow + 2500ms, kPair, kNow).empty());
+  judge.reset_cooldowns("e");
+  cr_assert(judge.on_request(kNow + 2500ms, kPair, kNow).empty());
 }
--- a/tests/platform/support/ledger.cpp
+++ b/tests/platform/support/ledger.cpp
@@ -76,22 +76,22 @@
   if (answer == this->answers_by_seal.end()) return;
   const SentByCaller* request = this->find(answer->second.request);
   if (request == nullptr) return;
-  this->notices.told_leaving(monotonic_now(), {request->node, answer->second.engine});
+  this->notices.on_draining_received(monotonic_now(), {request->node, answer->second.engine});
 }
 
 void Ledger::reached(const std::string& id, const std::string& engine) {
   const SentByCaller* request = this->find(id);
   if (request == nullptr) return;
-  const NodeAndStart pair{request->node, engine};
-  const std::string broken = this->notices.reaches(monotonic_now(), pair, request->at);
+  const NodeAndIncarnation pair{request->node, engine};
+  const std::string broken = this->notices.on_request(monotonic_now(), pair, request->at);
   if (!broken.empty()) this->broke("NOTICE", id + " reaches an engine: " + broken);
-  const std::string over = this->limits.reaches(monotonic_now(), pair);
+  const std::string over = this->limits.on_request(monotonic_now(), pair);
   if (!over.empty()) this->broke("LIMIT", id + " reaches an engine: " + over);
 }
 
 void Ledger::names_limit(const std::string& engine, std::optional<double> a_second) {
-  if (!a_second) return this->limits.names_none(engine);
-  this->limits.names(monotonic_now(), engine, *a_second);
+  if (!a_second) return this->limits.clear_limit(engine);
+  this->limits.set_limit(monotonic_now(), engine, *a_second);
 }
 
 void Ledger::got_limit(const std::string& seal) {
@@ -99,13 +99,13 @@
   if (answer == this->answers_by_seal.end()) return;
   const SentByCaller* request = this->find(answer->second.request);
   if (request == nullptr) return;
-  this->limits.told(monotonic_now(), {request->node, answer->second.engine});
+  this->limits.on_limit_received(monotonic_now(), {request->node, answer->second.engine});
 }
 
 void Ledger::asked_for_rest(const std::string& id, const std::string& engine, Duration rest) {
   const SentByCaller* request = this->find(id);
   if (request == nullptr) return;
-  this->notices.asked_for_rest(monotonic_now(), {request->node, engine}, rest);
+  this->notices.on_cooldown_requested(monotonic_now(), {request->node, engine}, rest);
 }
 
 bool Ledger::got_event(const std::string& id, std::uint64_t number, const std::string& text) {
--- a/tests/platform/support/ledger.hpp
+++ b/tests/platform/support/ledger.hpp
@@ -110,20 +110,20 @@
   // Disturbances.
   /// A node was restarted, stood still or woke.
   void node_disturbed(const std::string& node) {
-    this->notices.excuse_node(node);
-    this->limits.excuse_node(node);
+    this->notices.reset_node(node);
+    this->limits.reset_node(node);
   }
   /// A node runs a program that does not know limits, or no longer does so.
   void set_unaware_of_limits(const std::string& node, bool unaware) {
     this->limits.set_unaware(node, unaware);
   }
   /// The way from an engine to the nodes was cut or harmed.
-  void link_disturbed(const std::string& engine) { this->notices.excuse_rests(engine); }
+  void link_disturbed(const std::string& engine) { this->notices.reset_cooldowns(engine); }
 
   void broke(const std::string& rule, const std::string& what);
 
   /// @return the largest share of what limits allow that any window held.
-  double most_of_limits() const { return this->limits.most(); }
+  double most_of_limits() const { return this->limits.max_utilization(); }
 
   const SentByCaller* find(const std::string& id) const;
   const std::vector<BrokenPromise>& broken() const { return this->promises; }
@@ -156,8 +156,8 @@
   std::map<std::string, Arrivals> arrivals;
   std::map<std::string, Deadly> deadly;
   std::vector<BrokenPromise> promises;
-  NoticeJudge notices{kUntilNone};
-  LimitJudge limits;
+  NoticeChecker notices{kUntilNone};
+  LimitChecker limits;
   std::uint64_t seals = 0;
 };
 
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -90,10 +90,10 @@
     ExchangingFleet fleet(nodes, nodes == 2 ? 1 : 5);
     fleet.runtime.advance(4s);
     relay::EngineListener& listener = fleet.sites[1]->node->listener();
-    listener.on_head(EngineId("p1"), 503, {{"rest-seconds", "3"}});
+    listener.on_response_head(EngineId("p1"), 503, {{"rest-seconds", "3"}});
     fleet.runtime.advance(300ms);
     cr_assert(fleet.engine(0).takes_requests(fleet.runtime.now()), "its wait is for one node");
-    listener.on_head(EngineId("p1"), 200, {{"leaving", "1"}});
+    listener.on_response_head(EngineId("p1"), 200, {{"leaving", "1"}});
     fleet.runtime.advance(300ms);
     for (std::size_t i = 0; i < nodes; ++i) {
       cr_assert(fleet.engine(i).record.draining, "node %zu of %zu", i, nodes);
--- a/tests/relay/policy_options_test.cpp
+++ b/tests/relay/policy_options_test.cpp
@@ -11,32 +11,32 @@
 namespace {
 
 template <std::size_t Count>
-tl::expected<PolicyRequest, Findings> take(const std::array<const char*, Count>& words) {
-  return take_policy_options(static_cast<int>(Count), words.data(), {});
+tl::expected<PolicyCommandLine, Findings> parse(const std::array<const char*, Count>& arguments) {
+  return parse_policy_options(static_cast<int>(Count), arguments.data(), {});
 }
 
 }  // namespace
 
-Test(policy_options, keeps_the_defaults_where_nothing_is_said) {
-  const auto asked = take(std::array{"relay"});
-  cr_assert(asked.has_value());
-  cr_assert_not(asked->help);
-  cr_assert_eq(asked->settings.placement.home_share, PlacementSettings{}.home_share);
-  cr_assert(asked->settings.catalog.longest_gather == CatalogSettings{}.longest_gather);
+Test(policy_options, uses_the_defaults_without_options) {
+  const auto parsed = parse(std::array{"relay"});
+  cr_assert(parsed.has_value());
+  cr_assert_not(parsed->help);
+  cr_assert_eq(parsed->settings.placement.home_share, PlacementSettings{}.home_share);
+  cr_assert(parsed->settings.catalog.longest_gather == CatalogSettings{}.longest_gather);
 }
 
-Test(policy_options, changes_what_is_named) {
-  const auto asked = take(
+Test(policy_options, applies_the_given_options) {
+  const auto parsed = parse(
       std::array{"relay", "--home-share", "0.5", "--in-time-share=1000", "--gather-ms", "900"});
-  cr_assert(asked.has_value());
-  cr_assert_eq(asked->settings.placement.home_share, 0.5);
-  cr_assert_eq(asked->settings.prefill.in_time_share, 1000);
-  cr_assert(asked->settings.catalog.longest_gather == 900ms);
+  cr_assert(parsed.has_value());
+  cr_assert_eq(parsed->settings.placement.home_share, 0.5);
+  cr_assert_eq(parsed->settings.prefill.in_time_share, 1000);
+  cr_assert(parsed->settings.catalog.longest_gather == 900ms);
 }
 
-Test(policy_options, says_what_is_wrong_with_the_command_line) {
-  const auto unknown = take(std::array{"relay", "--no-such-policy", "1"});
+Test(policy_options, reports_an_invalid_command_line) {
+  const auto unknown = parse(std::array{"relay", "--no-such-policy", "1"});
   cr_assert_not(unknown.has_value());
   cr_assert_eq(unknown.error().items().at(0).place, "command line");
-  cr_assert_not(take(std::array{"relay", "--home-share", "far"}).has_value());
+  cr_assert_not(parse(std::array{"relay", "--home-share", "far"}).has_value());
 }
--- a/tests/relay/quarantine_api_test.cpp
+++ b/tests/relay/quarantine_api_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr relay::RequestIdentity kRequest{1, 2};
 
-HttpReply ask(relay::Quarantine& quarantine, const std::string& method, const std::string& path) {
+HttpReply call(relay::Quarantine& quarantine, const std::string& method, const std::string& path) {
   HttpRequest request;
   request.method = method;
   request.path = path;
@@ -22,17 +22,17 @@
 }
 
 /// A node that holds one request back.
-struct Scene {
-  Scene() { this->quarantine().restore({{kRequest, {11, 12, 13}, {5}, 60s}}); }
+struct ApiFixture {
+  ApiFixture() { this->quarantine().restore({{kRequest, {11, 12, 13}, {5}, 60s}}); }
   relay::Quarantine& quarantine() { return this->site.node->quarantine(); }
   RelayFixture site;
 };
 
 }  // namespace
 
-Test(quarantine_api, shows_what_is_held_back_and_why) {
-  Scene scene;
-  const HttpReply reply = ask(scene.quarantine(), "GET", "/quarantine");
+Test(quarantine_api, lists_quarantined_requests) {
+  ApiFixture fixture;
+  const HttpReply reply = call(fixture.quarantine(), "GET", "/quarantine");
   cr_assert_eq(reply.status, 200);
   const auto held = nlohmann::json::parse(reply.body).at("held");
   cr_assert_eq(held.size(), 1U);
@@ -41,19 +41,19 @@
   cr_assert_not(held[0].at("from_all_callers").get<bool>());
 }
 
-Test(quarantine_api, lets_one_go) {
-  Scene scene;
+Test(quarantine_api, releases_a_request) {
+  ApiFixture fixture;
   const std::string path = "/quarantine/" + to_text(kRequest);
-  cr_assert_eq(ask(scene.quarantine(), "DELETE", path).status, 200);
-  cr_assert(scene.quarantine().held().empty());
-  cr_assert_eq(ask(scene.quarantine(), "DELETE", path).status, 404, "it is gone");
+  cr_assert_eq(call(fixture.quarantine(), "DELETE", path).status, 200);
+  cr_assert(fixture.quarantine().quarantined().empty());
+  cr_assert_eq(call(fixture.quarantine(), "DELETE", path).status, 404, "it is gone");
 }
 
-Test(quarantine_api, refuses_what_it_does_not_know) {
-  Scene scene;
-  cr_assert_eq(ask(scene.quarantine(), "DELETE", "/quarantine/xyz").status, 400);
-  cr_assert_eq(ask(scene.quarantine(), "DELETE", "/quarantine").status, 400);
-  cr_assert_eq(ask(scene.quarantine(), "POST", "/quarantine").status, 400);
+Test(quarantine_api, rejects_invalid_requests) {
+  ApiFixture fixture;
+  cr_assert_eq(call(fixture.quarantine(), "DELETE", "/quarantine/xyz").status, 400);
+  cr_assert_eq(call(fixture.quarantine(), "DELETE", "/quarantine").status, 400);
+  cr_assert_eq(call(fixture.quarantine(), "POST", "/quarantine").status, 400);
   cr_assert(relay::is_quarantine_path("/quarantine/1"));
   cr_assert_not(relay::is_quarantine_path("/quarantines"));
 }
--- a/tests/relay/quarantine_test.cpp
+++ b/tests/relay/quarantine_test.cpp
@@ -13,24 +13,24 @@
 namespace {
 
 constexpr RequestIdentity kRequest{1, 1};
-constexpr relay::TriedRequest kTried{kRequest, 5};
+constexpr relay::TriedRequest kAttempt{kRequest, 5};
 const std::vector<std::string> kEngines{"a", "b", "c", "d"};
 
 /// A node with four engines.
-struct Scene {
-  Scene() {
+struct QuarantineFixture {
+  QuarantineFixture() {
     for (const std::string& id : kEngines) this->site.add_engine(id, "plain");
   }
 
   relay::Quarantine& quarantine() { return this->site.node->quarantine(); }
 
   /// An engine breaks off what it was sent just now.
-  void break_off(const std::string& engine) {
-    this->quarantine().on_broken(kTried, EngineId(engine), this->site.runtime.now());
+  void interrupt(const std::string& engine) {
+    this->quarantine().on_interrupted(kAttempt, EngineId(engine), this->site.runtime.now());
   }
 
   /// Lets all questions to engines be answered, or find nobody.
-  void answer_questions(bool alive) {
+  void answer_liveness_checks(bool alive) {
     for (std::size_t i = 0; i < this->site.http.count(); ++i) {
       if (this->site.http.at(i).done) continue;
       if (alive) {
@@ -48,128 +48,129 @@
 
 }  // namespace
 
-Test(quarantine, asks_no_engine_for_one_broken_request) {
-  Scene scene;
-  scene.break_off("a");
-  cr_assert_eq(scene.site.http.count(), 0U);
-  cr_assert(scene.reports().empty(), "nobody needs to know while the try goes on");
+Test(quarantine, checks_no_engine_after_a_single_interruption) {
+  QuarantineFixture fixture;
+  fixture.interrupt("a");
+  cr_assert_eq(fixture.site.http.count(), 0U);
+  cr_assert(fixture.reports().empty(), "nobody needs to know while the try goes on");
 }
 
-Test(quarantine, suspects_nobody_whose_engines_live) {
-  Scene scene;
-  for (const char* engine : {"a", "b", "c"}) scene.break_off(engine);
-  scene.answer_questions(true);
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
-  scene.site.runtime.advance(1s);
-  cr_assert_eq(scene.site.http.count(), 3U, "each engine was asked once");
+Test(quarantine, clears_a_request_whose_engines_are_alive) {
+  QuarantineFixture fixture;
+  for (const char* engine : {"a", "b", "c"}) fixture.interrupt(engine);
+  fixture.answer_liveness_checks(true);
+  cr_assert_not(fixture.quarantine().status(kAttempt).suspect());
+  fixture.site.runtime.advance(1s);
+  cr_assert_eq(fixture.site.http.count(), 3U, "each engine was asked once");
 }
 
-Test(quarantine, holds_back_whose_engines_have_ended) {
-  Scene scene;
-  for (const char* engine : {"a", "b", "c"}) scene.break_off(engine);
-  cr_assert_not(scene.quarantine().standing(kTried).held_for, "not before it is known");
-  scene.answer_questions(false);
-  cr_assert(scene.quarantine().standing(kTried).held_for.has_value());
+Test(quarantine, quarantines_a_request_whose_engines_crashed) {
+  QuarantineFixture fixture;
+  for (const char* engine : {"a", "b", "c"}) fixture.interrupt(engine);
+  cr_assert_not(fixture.quarantine().status(kAttempt).held_for, "not before it is known");
+  fixture.answer_liveness_checks(false);
+  cr_assert(fixture.quarantine().status(kAttempt).held_for.has_value());
 }
 
-Test(quarantine, does_not_count_engines_that_had_said_that_they_leave) {
-  Scene scene;
+Test(quarantine, ignores_draining_engines) {
+  QuarantineFixture fixture;
   for (const char* engine : {"a", "b", "c"}) {
-    scene.site.add_engine(engine, "plain", relay::EngineStage::kNone, true);
-    scene.break_off(engine);
+    fixture.site.add_engine(engine, "plain", relay::EngineStage::kNone, true);
+    fixture.interrupt(engine);
   }
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
+  cr_assert_not(fixture.quarantine().status(kAttempt).suspect());
 }
 
-Test(quarantine, does_not_blame_what_was_sent_after_the_engine_had_ended) {
+Test(quarantine, ignores_requests_sent_after_the_crash) {
   // A connection may still be taken on behalf of an engine that is gone.
-  Scene scene;
-  for (const char* engine : {"a", "b", "c"}) scene.quarantine().on_engine_ended(EngineId(engine));
-  scene.site.runtime.advance(1ms);
-  for (const char* engine : {"a", "b", "c"}) scene.break_off(engine);
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
+  QuarantineFixture fixture;
+  for (const char* engine : {"a", "b", "c"})
+    fixture.quarantine().on_engine_crashed(EngineId(engine));
+  fixture.site.runtime.advance(1ms);
+  for (const char* engine : {"a", "b", "c"}) fixture.interrupt(engine);
+  cr_assert_not(fixture.quarantine().status(kAttempt).suspect());
 }
 
-Test(quarantine, learns_of_an_end_from_the_list_and_from_who_has_the_address) {
-  Scene scene;
-  for (const char* engine : {"a", "b"}) scene.break_off(engine);
-  scene.site.node->remove_engine("a");
-  cr_assert_eq(scene.quarantine().standing(kTried).ended, 1U);
+Test(quarantine, detects_crashes_by_the_engine_list_and_by_a_reused_address) {
+  QuarantineFixture fixture;
+  for (const char* engine : {"a", "b"}) fixture.interrupt(engine);
+  fixture.site.node->remove_engine("a");
+  cr_assert_eq(fixture.quarantine().status(kAttempt).ended, 1U);
   relay::EngineRecord next;
   next.id = EngineId("b2");
   next.service = ServiceName("plain");
   next.address = "b:80";
-  scene.site.node->set_engine(next);
-  cr_assert_eq(scene.quarantine().standing(kTried).ended, 2U);
+  fixture.site.node->set_engine(next);
+  cr_assert_eq(fixture.quarantine().status(kAttempt).ended, 2U);
 }
 
-Test(quarantine, believes_an_engine_that_is_listed_again) {
+Test(quarantine, clears_a_request_when_its_engine_is_listed_again) {
   // The store was away for a while, and with it the engine's entry.
-  Scene scene;
-  scene.break_off("a");
-  scene.site.node->remove_engine("a");
-  scene.site.runtime.advance(1s);
-  scene.site.add_engine("a", "plain");
-  cr_assert_not(scene.quarantine().standing(kTried).suspect());
+  QuarantineFixture fixture;
+  fixture.interrupt("a");
+  fixture.site.node->remove_engine("a");
+  fixture.site.runtime.advance(1s);
+  fixture.site.add_engine("a", "plain");
+  cr_assert_not(fixture.quarantine().status(kAttempt).suspect());
 }
 
-Test(quarantine, tells_the_others_a_few_times_when_a_try_has_failed) {
-  Scene scene;
-  scene.break_off("a");
-  scene.quarantine().on_failed(kRequest);
-  int told = 0;
+Test(quarantine, reports_a_failed_attempt_several_times) {
+  QuarantineFixture fixture;
+  fixture.interrupt("a");
+  fixture.quarantine().on_attempt_failed(kRequest);
+  int report_count = 0;
   for (int i = 0; i < 20; ++i) {
-    for (const relay::CrashReport& report : scene.reports()) {
+    for (const relay::CrashReport& report : fixture.reports()) {
       cr_assert(report.news == CrashNews::kBroken);
       cr_assert(report.request == kRequest);
-      ++told;
+      ++report_count;
     }
-    scene.site.runtime.advance(100ms);
+    fixture.site.runtime.advance(100ms);
   }
-  cr_assert_eq(told, 4);
+  cr_assert_eq(report_count, 4);
 }
 
-Test(quarantine, tells_of_an_engine_that_went_dark_once_it_is_known) {
-  Scene scene;
-  scene.quarantine().on_silent(kTried, EngineId("a"), scene.site.runtime.now());
-  scene.quarantine().on_failed(kRequest);
-  cr_assert(scene.reports().empty(), "silence alone says nothing");
-  scene.site.node->remove_engine("a");
-  const auto reports = scene.reports();
+Test(quarantine, reports_an_unresponsive_engine_once_its_crash_is_confirmed) {
+  QuarantineFixture fixture;
+  fixture.quarantine().on_unresponsive(kAttempt, EngineId("a"), fixture.site.runtime.now());
+  fixture.quarantine().on_attempt_failed(kRequest);
+  cr_assert(fixture.reports().empty(), "silence alone says nothing");
+  fixture.site.node->remove_engine("a");
+  const auto reports = fixture.reports();
   cr_assert_eq(reports.size(), 1U);
   cr_assert(reports.front().news == CrashNews::kEnded);
 }
 
-Test(quarantine, tells_that_a_request_ran_to_its_end_only_where_others_suspect_it) {
-  Scene scene;
-  scene.break_off("a");
-  scene.quarantine().on_answered(kRequest);
-  cr_assert(scene.reports().empty());
-  scene.site.runtime.advance(1ms);
-  scene.break_off("b");
-  scene.quarantine().on_failed(kRequest);
-  scene.reports();
-  scene.quarantine().on_answered(kRequest);
-  const auto reports = scene.reports();
+Test(quarantine, reports_completion_only_if_peers_suspect_the_request) {
+  QuarantineFixture fixture;
+  fixture.interrupt("a");
+  fixture.quarantine().on_completed(kRequest);
+  cr_assert(fixture.reports().empty());
+  fixture.site.runtime.advance(1ms);
+  fixture.interrupt("b");
+  fixture.quarantine().on_attempt_failed(kRequest);
+  fixture.reports();
+  fixture.quarantine().on_completed(kRequest);
+  const auto reports = fixture.reports();
   cr_assert(reports.back().news == CrashNews::kCleared);
 }
 
-Test(quarantine, tells_whoever_it_heard_it_from_that_a_request_ran_to_its_end) {
-  Scene scene;
-  scene.quarantine().learn({{CrashNews::kEnded, kRequest, 1, 5, 100}});
-  cr_assert(scene.reports().empty(), "those who have seen it tell");
-  scene.quarantine().on_answered(kRequest);
-  const auto reports = scene.reports();
+Test(quarantine, reports_completion_of_a_request_that_a_peer_reported) {
+  QuarantineFixture fixture;
+  fixture.quarantine().on_peer_reports({{CrashNews::kEnded, kRequest, 1, 5, 100}});
+  cr_assert(fixture.reports().empty(), "those who have seen it tell");
+  fixture.quarantine().on_completed(kRequest);
+  const auto reports = fixture.reports();
   cr_assert_eq(reports.size(), 1U);
   cr_assert(reports.front().news == CrashNews::kCleared);
 }
 
-Test(quarantine, lets_go_what_an_operator_speaks_for) {
-  Scene scene;
-  for (const char* engine : {"a", "b", "c"}) scene.break_off(engine);
-  scene.answer_questions(false);
-  cr_assert_eq(scene.quarantine().held().size(), 1U);
-  cr_assert(scene.quarantine().lift(kRequest));
-  cr_assert(scene.quarantine().held().empty());
-  cr_assert_not(scene.quarantine().lift(kRequest), "once");
+Test(quarantine, releases_a_request_for_an_operator) {
+  QuarantineFixture fixture;
+  for (const char* engine : {"a", "b", "c"}) fixture.interrupt(engine);
+  fixture.answer_liveness_checks(false);
+  cr_assert_eq(fixture.quarantine().quarantined().size(), 1U);
+  cr_assert(fixture.quarantine().release(kRequest));
+  cr_assert(fixture.quarantine().quarantined().empty());
+  cr_assert_not(fixture.quarantine().release(kRequest), "once");
 }
--- a/tests/relay/support/limited_fleet.hpp
+++ b/tests/relay/support/limited_fleet.hpp
@@ -18,7 +18,7 @@
 class LimitedFleet {
  public:
   static constexpr Duration kStep = std::chrono::milliseconds(10);
-  static constexpr Duration kAnswersAfter = std::chrono::milliseconds(50);
+  static constexpr Duration kAnswerDelay = std::chrono::milliseconds(50);
 
   LimitedFleet(std::size_t nodes, std::size_t zones) : fleet(nodes, zones) {}
 
@@ -27,20 +27,20 @@
   }
 
   /// An engine names a limit from now on; below zero: none any more.
-  void name_limit(const std::string& engine, double a_second) {
-    this->limits[engine] = a_second;
-    if (a_second < 0) return this->judge.names_none(engine);
-    this->judge.names(this->now(), engine, a_second);
+  void set_limit(const std::string& engine, double per_second) {
+    this->limits[engine] = per_second;
+    if (per_second < 0) return this->checker.clear_limit(engine);
+    this->checker.set_limit(this->now(), engine, per_second);
   }
 
   /// Callers come to a node, so many a second, at moments that are drawn.
-  void set_callers(std::size_t node, double a_second) { this->callers[node] = a_second; }
+  void set_callers(std::size_t node, double per_second) { this->caller_rates[node] = per_second; }
 
   /// The node's process is lost; its callers with it.
   void kill(std::size_t node) {
-    this->callers.erase(node);
-    this->judge.excuse_node(std::to_string(node));
-    this->dead[node] = true;
+    this->caller_rates.erase(node);
+    this->checker.reset_node(std::to_string(node));
+    this->killed[node] = true;
     this->fleet.cut(node);
   }
 
@@ -51,14 +51,14 @@
   MonotonicTime now() const { return this->fleet.runtime.now(); }
 
   /// @return requests that have reached an engine.
-  int reached(const std::string& engine) const {
-    const auto found = this->arrived.find(engine);
-    return found == this->arrived.end() ? 0 : found->second;
+  int received(const std::string& engine) const {
+    const auto found = this->received_counts.find(engine);
+    return found == this->received_counts.end() ? 0 : found->second;
   }
 
   ExchangingFleet fleet;
-  LimitJudge judge;
-  std::vector<std::string> broken;
+  LimitChecker checker;
+  std::vector<std::string> violations;
   std::vector<std::shared_ptr<SeenReply>> replies;
 
  private:
@@ -72,57 +72,58 @@
   void step() {
     this->fleet.runtime.advance(kStep);
     for (std::size_t i = 0; i < this->fleet.sites.size(); ++i) {
-      if (!this->dead[i]) this->fleet.sites[i]->runtime.advance(kStep);
+      if (!this->killed[i]) this->fleet.sites[i]->runtime.advance(kStep);
     }
-    for (const auto& [node, a_second] : this->callers) {
-      std::poisson_distribution<int> come(a_second * to_seconds(kStep));
-      for (int left = come(this->random); left > 0; --left) {
+    for (const auto& [node, per_second] : this->caller_rates) {
+      std::poisson_distribution<int> arrivals(per_second * to_seconds(kStep));
+      for (int remaining = arrivals(this->random); remaining > 0; --remaining) {
         this->replies.push_back(this->fleet.sites[node]->request("/safe/a"));
       }
     }
     while (!this->answers.empty() && this->answers.front().at <= this->now()) {
       const Answer next = this->answers.front();
       this->answers.pop_front();
-      if (!this->dead[next.node]) this->answer(next);
+      if (!this->killed[next.node]) this->answer(next);
     }
     for (std::size_t i = 0; i < this->fleet.sites.size(); ++i) {
-      if (!this->dead[i]) this->take_sent(i);
+      if (!this->killed[i]) this->deliver_requests(i);
     }
   }
 
   /// What a node has sent reaches its engine.
-  void take_sent(std::size_t node) {
+  void deliver_requests(std::size_t node) {
     ScriptedHttpClient& http = this->fleet.sites[node]->http;
-    for (std::size_t& next = this->taken[node]; next < http.count();) {
+    for (std::size_t& next = this->next_transfers[node]; next < http.count();) {
       const std::size_t transfer = next++;
       if (!http.at(transfer).request.still_wanted()) {
         http.fail(transfer, TransferFailure::kWithdrawn);
         continue;
       }
       const std::string engine(http.at(transfer).request.headers.get("for-engine"));
-      ++this->arrived[engine];
-      const std::string broke = this->judge.reaches(this->now(), {std::to_string(node), engine});
-      if (!broke.empty()) this->broken.push_back(broke);
-      this->answers.push_back({this->now() + kAnswersAfter, node, transfer, engine});
+      ++this->received_counts[engine];
+      const std::string violation =
+          this->checker.on_request(this->now(), {std::to_string(node), engine});
+      if (!violation.empty()) this->violations.push_back(violation);
+      this->answers.push_back({this->now() + kAnswerDelay, node, transfer, engine});
     }
   }
 
-  void answer(const Answer& due) {
+  void answer(const Answer& answer) {
     HttpHeaders headers = RelayFixture::sealed();
-    const auto limit = this->limits.find(due.engine);
+    const auto limit = this->limits.find(answer.engine);
     if (limit != this->limits.end() && limit->second >= 0) {
       headers.add("limit", std::to_string(limit->second));
-      this->judge.told(this->now(), {std::to_string(due.node), due.engine});
+      this->checker.on_limit_received(this->now(), {std::to_string(answer.node), answer.engine});
     }
-    this->fleet.sites[due.node]->http.answer(due.transfer, 200, headers, "whole");
+    this->fleet.sites[answer.node]->http.answer(answer.transfer, 200, headers, "whole");
   }
 
   std::map<std::string, double> limits;
-  std::map<std::size_t, double> callers;
+  std::map<std::size_t, double> caller_rates;
   std::mt19937_64 random{1};
-  std::map<std::size_t, std::size_t> taken;
-  std::map<std::size_t, bool> dead;
-  std::map<std::string, int> arrived;
+  std::map<std::size_t, std::size_t> next_transfers;
+  std::map<std::size_t, bool> killed;
+  std::map<std::string, int> received_counts;
   std::deque<Answer> answers;
 };
 
