--- a/src/relay/capacity_coordinator.cpp
+++ b/src/relay/capacity_coordinator.cpp
@@ -33,7 +33,7 @@
 void CapacityCoordinator::tick() {
   if (this->settings.planner.way == capacity::BuyingWay::kNone) return;
   if (this->lease.held_for() < this->settings.takeover_delay) {
-    // Another holder may have ordered meanwhile.
+    // Another holder may have sent orders in the meantime.
     this->service_states.clear();
     return;
   }
@@ -46,7 +46,7 @@
   }
 }
 
-/// Zones without an engine count where the operator names a price for them.
+/// Includes zones without engines if the operator sets a price for them.
 EnginesByZone CapacityCoordinator::count_engines(const RelayedService& declared) const {
   EnginesByZone engines;
   for (const auto& [zone, price] : declared.scale->zone_prices) engines[zone];
@@ -66,7 +66,7 @@
   const auto plan = state.planner.plan(now, *declared.scale, state.needed, engines);
   this->refill_change_budget(state);
   for (const auto& [purchase, wanted] : plan) {
-    // Before it is known what is needed nothing is given back.
+    // Releases nothing until the baseline is known.
     if (!state.needed_known && !purchase.spot) continue;
     const capacity::ZoneEngines& present = engines.at(purchase.zone);
     const std::uint32_t current = purchase.spot ? present.spot : present.full;
@@ -89,7 +89,8 @@
       std::min(per_second, state.change_budget + to_seconds(elapsed) * per_second);
 }
 
-/// @return how many are ordered now on the way from what there is, or is coming, to what is wanted.
+/// @return the engine count to order now: a step from the current or already ordered count towards
+/// the wanted one, within the change budget.
 std::uint32_t CapacityCoordinator::next_order_size(const RelayedService& declared,
                                                    ServiceState& state, const Purchase& purchase,
                                                    std::uint32_t wanted,
@@ -104,15 +105,15 @@
   return wanted > base ? base + step : base - step;
 }
 
-/// Engines that were taken back are not replaced without a word.
+/// Engines that the provider reclaims are replaced only by a new order.
 bool CapacityCoordinator::is_effect_overdue(const RelayedService& declared,
                                             const IssuedOrder& issued) const {
   const Duration timeout = declared.scale->startup + this->settings.effect_timeout;
   return this->runtime.now() - issued.issued_at >= timeout;
 }
 
-/// What the operator has sized the service for is what it had before this product ordered anything:
-/// written down once, so that no later holder takes what was ordered for it.
+/// Determines how many engines the operator runs for the service before the first order. The count
+/// is stored once, so that later lease holders don't include ordered engines in it.
 void CapacityCoordinator::update_needed(const ServiceName& name, ServiceState& state,
                                         const EnginesByZone& engines) {
   const MonotonicTime now = this->runtime.now();
@@ -149,7 +150,7 @@
                       name](const tl::expected<store::StoredObject, store::StoreError>& made) {
                        if (!*living) return;
                        if (made) return this->on_needed_record(name, *made);
-                       // It may have been made, by this node or another: read again.
+                       // This node or another may have created it: read again.
                        const auto state = this->service_states.find(name);
                        if (state == this->service_states.end()) return;
                        state->second.store_call_pending = false;
--- a/src/relay/capacity_coordinator.hpp
+++ b/src/relay/capacity_coordinator.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Orders engines as the capacity planner says, while this node has the lease.
+/// Orders engines according to the capacity planner while this node holds the lease.
 #pragma once
 
 #include <map>
@@ -16,10 +16,11 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node.
+/// Runs on every node; acts only on the lease holder.
 class CapacityCoordinator {
  public:
-  /// All references outlive this. @param machine the name that the orders bear.
+  /// All references must outlive this object.
+  /// @param machine name that is sent with orders.
   CapacityCoordinator(Runtime& runtime, store::ObjectStore& store, LeaseKeeper& lease,
                       DutyService& service, RelayNode& node, const std::string& machine,
                       const CapacityCoordinatorSettings& settings);
@@ -28,24 +29,24 @@
   CapacityCoordinator& operator=(const CapacityCoordinator&) = delete;
 
  private:
-  /// An order, and what is known of it.
+  /// The last order for one kind of engine.
   struct IssuedOrder {
     std::uint32_t engines = 0;
     MonotonicTime issued_at{};
-    bool in_flight = false;  ///< Not answered yet.
+    bool in_flight = false;
   };
-  /// What is known of one service.
+  /// State of one service.
   struct ServiceState {
     explicit ServiceState(const capacity::CapacitySettings& settings) : planner(settings) {}
     capacity::CapacityPlanner planner;
-    std::uint32_t needed = 0;  ///< Most engines seen, until it is known what is needed.
+    std::uint32_t needed = 0;  ///< Highest count seen, until `needed_known`.
     bool needed_known = false;
-    MonotonicTime increased_at{};  ///< When `needed` last grew, while it is not known.
+    MonotonicTime increased_at{};  ///< Last growth of `needed` before `needed_known`.
     bool record_missing = false;
-    bool store_call_pending = false;  ///< The record is being read or made.
+    bool store_call_pending = false;  ///< A read or create call is in flight.
     std::map<capacity::Purchase, IssuedOrder> orders;
-    MonotonicTime budget_refilled_at{};  ///< When engines were last ordered.
-    double change_budget = 0;            ///< Engines that may be bought or given back now.
+    MonotonicTime budget_refilled_at{};
+    double change_budget = 0;  ///< Engines that may be ordered or released now.
   };
 
   void tick();
--- a/src/relay/capacity_settings.hpp
+++ b/src/relay/capacity_settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tunables of the ordering of engines, in one place.
+/// Settings of the capacity coordinator.
 #pragma once
 
 #include <string>
@@ -9,20 +9,19 @@
 
 namespace shuntbank::relay {
 
-/// Tunables of the coordinator.
 struct CapacityCoordinatorSettings {
   capacity::CapacitySettings planner;
-  /// A new holder has heard of what the one before has ordered by then.
+  /// Delay before a new lease holder sends its first order: orders of the previous holder have
+  /// taken effect by then.
   Duration takeover_delay = std::chrono::milliseconds(800);
-  /// What the operator has sized a service for is known once its engines have not become more for
-  /// so long: two of their heartbeats, by which all have registered, and the reading of the list.
+  /// The engine count of a service is taken as its baseline once it has not grown for this long:
+  /// two engine heartbeats plus the read of the engine list.
   Duration stable_count_interval = std::chrono::milliseconds(2600);
-  /// An order whose effect does not show within this, beyond the time that engines take to start,
-  /// is given again.
+  /// An order is repeated if it has no effect within this time, in addition to the startup time of
+  /// engines.
   Duration effect_timeout = std::chrono::seconds(3);
-  /// Engines of a service bought and given back, in all. Each change of an engine reaches every
-  /// node: with 3,000 engines changed over within five seconds, nodes with an eighth of a core knew
-  /// of one that left 3.7 s late. A hundred engines are changed over in three seconds all the same.
+  /// Limit on engines ordered plus released for one service. Every change of an engine is sent to
+  /// every node, and small nodes fall seconds behind when thousands change at once.
   double max_changes_per_second = 40;
   Duration call_timeout = std::chrono::milliseconds(1500);
   std::string record_kind = "shuntbank-capacity";
--- a/src/relay/duty_service.hpp
+++ b/src/relay/duty_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The port to the service that takes what one node does for the whole fleet: reports of usage and
-/// orders for engines. An implementation holds names and formats and decides nothing.
+/// Interface to the service that accepts fleet-wide duties, which one node at a time performs:
+/// usage reports and engine orders. Implementations only handle names and formats.
 #pragma once
 
 #include <functional>
@@ -12,15 +12,15 @@
 
 namespace shuntbank::relay {
 
-/// Under whose authority a call is made.
+/// Lease holder on whose behalf a call is made.
 struct DutyAuthority {
-  std::string holder;  ///< The machine.
-  Fence fence = 0;     ///< Of its lease; grows from holder to holder.
+  std::string holder;  ///< Machine name.
+  Fence fence = 0;     ///< Fencing token of its lease; increases with each holder.
 
   bool operator==(const DutyAuthority&) const = default;
 };
 
-/// What the tenants have used in one window.
+/// Usage of all tenants in one window.
 struct UsageReport {
   usage::WindowNumber window = 0;
   usage::TenantCounts counts;
@@ -28,28 +28,28 @@
   bool operator==(const UsageReport&) const = default;
 };
 
-/// How many engines of one price a service is to have in a zone.
+/// Target count of engines of one price class for a service in a zone.
 struct EngineOrder {
   ServiceName service;
   ZoneName zone;
   std::uint32_t engines = 0;
-  bool spot = false;  ///< Cheap ones, which may be taken back; counted apart from the others.
+  bool spot = false;  ///< Discounted engines that the provider may reclaim; counted separately.
 
   bool operator==(const EngineOrder&) const = default;
 };
 
-/// What became of a call.
+/// Result of a call.
 enum class DutyOutcome {
   kDone,
-  kRefused,    ///< A higher fence was seen, or there are no such engines now.
-  kThrottled,  ///< Nothing was done; too many calls.
-  kUnknown,    ///< No answer: it may have been done, or may still be done seconds later.
+  kRefused,    ///< A higher fence was seen, or no such engines are available.
+  kThrottled,  ///< Too many calls; not executed.
+  kUnknown,    ///< No answer: the call may have been executed, or may still be, seconds later.
 };
 
-/// @return a short name for logs.
+/// @return the name used in logs and metrics.
 const char* to_text(DutyOutcome outcome);
 
-/// Calls to the service. Handlers are called on the loop, never before the call returns.
+/// Client of the service. Handlers run on the event loop, never before the call returns.
 class DutyService {
  public:
   using Handler = std::function<void(DutyOutcome)>;
@@ -59,7 +59,7 @@
   DutyService(const DutyService&) = delete;
   DutyService& operator=(const DutyService&) = delete;
 
-  /// Two reports of one window that differ must never both be sent.
+  /// Differing reports of the same window must never both be sent.
   virtual void report_usage(const DutyAuthority& authority, const UsageReport& report,
                             Duration timeout, Handler handler) = 0;
 
--- a/src/relay/engine_listener.cpp
+++ b/src/relay/engine_listener.cpp
@@ -6,10 +6,8 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Of a field that cannot be read, in a log line.
 constexpr std::size_t kMaxLoggedBytes = 100;
 
-/// Of an answer.
 constexpr int kSuccessStatusEnd = 300;
 
 void log_limit(const EngineId& engine, const HeardLimit& limit, MonotonicTime now,
@@ -36,8 +34,8 @@
   }
   if (parsed.notice.leaving) this->on_draining(engine, request);
   if (parsed.notice.rest) this->on_cooldown(engine, *parsed.notice.rest, request);
-  // Only an engine that has taken a request up and names no limit has none any more: others may
-  // leave the word out where they refuse, fail or report.
+  // A missing limit ends the limit only in a successful response to a request: refusals, errors and
+  // reports may omit it.
   const bool succeeded =
       !request.empty() && status >= http_status::kOk && status < kSuccessStatusEnd;
   if (parsed.notice.limit || (succeeded && !parsed.notice.names_limit)) {
@@ -45,8 +43,8 @@
   }
 }
 
-/// The other nodes would send the engine requests until each has an answer of its own, and streams
-/// that begin there now may be cut by its end. Told once: who misses it hears it from the engine.
+/// Tells the other nodes once, so that they stop sending before they get a notice themselves. A
+/// node that misses the message still gets the engine's own notice.
 void EngineListener::on_draining(const EngineId& engine, std::string_view request) {
   if (!this->mark_draining(engine, "engine", request) || !this->trouble_handler) return;
   this->trouble_handler({engine, EngineStage::kNone, TroubleKind::kLeaving});
@@ -60,7 +58,7 @@
   this->io.engines.on_peer_trouble(this->io.runtime.now(), trouble);
 }
 
-/// @return whether it is news.
+/// @return whether the engine was not known to be draining.
 bool EngineListener::mark_draining(const EngineId& engine, const char* source,
                                    std::string_view request) {
   if (!this->io.engines.on_leaving(engine)) return false;
@@ -83,7 +81,7 @@
              {"for_ms", whole_ms(cooldown)}});
 }
 
-/// The other nodes would send the engine some requests each until they have an answer of it.
+/// Forwards a changed limit, so that other nodes don't exceed it until they receive it themselves.
 void EngineListener::on_limit(const EngineId& engine, std::optional<double> per_second,
                               std::string_view request) {
   const MonotonicTime now = this->io.runtime.now();
--- a/src/relay/engine_listener.hpp
+++ b/src/relay/engine_listener.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Hears what engines say of themselves in the heads of their answers, whatever was asked of them.
+/// Processes notices that engines send in response headers, independent of the request.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace shuntbank::relay {
 
-/// What it works with. All of it outlives it.
+/// Dependencies; all must outlive the listener.
 struct EngineListenerIo {
   Runtime& runtime;
   const EngineDialect& dialect;
@@ -20,33 +20,33 @@
   RelayMetrics& metrics;
 };
 
-/// The listener of one node.
+/// Processes the engine notices that one node receives itself or from other nodes.
 class EngineListener {
  public:
   explicit EngineListener(const EngineListenerIo& own_io) : io(own_io) {}
 
-  /// Sets who is told that an engine leaves, for the other nodes.
+  /// Sets the handler that forwards a draining notice to the other nodes.
   void on_trouble(std::function<void(const EngineTrouble&)> handler) {
     this->trouble_handler = std::move(handler);
   }
 
-  /// Sets who is told that an engine has changed its limit, for the other nodes.
+  /// Sets the handler that forwards a changed limit to the other nodes.
   void on_limit_changed(std::function<void(const LimitNews&)> handler) {
     this->limit_handler = std::move(handler);
   }
 
-  /// The head of an answer has come that is known to be this engine's.
-  /// @param request whose answer it is, for the log; empty for a call of the node's own.
+  /// Processes the head of a response that is verified to come from this engine.
+  /// @param request request id for the log; empty for calls of the node itself.
   void on_response_head(const EngineId& engine, int status, const HttpHeaders& headers,
                         std::string_view request = {});
 
-  /// An engine has said, in whatever way, that it leaves.
+  /// An engine has announced that it drains, by a header or a report.
   void on_draining(const EngineId& engine, std::string_view request = {});
 
-  /// Another node has heard a limit of an engine.
+  /// Another node has received a limit from an engine.
   void on_peer_limit(const LimitNews& news);
 
-  /// Another node has met trouble at an engine.
+  /// Another node reports trouble with an engine.
   void on_peer_trouble(const EngineTrouble& trouble);
 
  private:
--- a/src/relay/engine_permits.cpp
+++ b/src/relay/engine_permits.cpp
@@ -8,25 +8,25 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Until a call to a keeper is given up. Nodes of three regions answer each other within 100 ms.
+/// Timeout of a call to a limit owner. Round trips between regions take up to 100 ms.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(250);
 
-/// A node that comes to keep a limit grants nothing for so long: until then others may still go by
-/// the keeper before, which they ask for a sign of life once a second.
+/// A new owner grants nothing for this long: other nodes may still use the previous owner, which
+/// they probe once a second.
 constexpr Duration kTakeoverDelay = std::chrono::milliseconds(1500);
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 
-/// A node that has not looked around for so long stood still: another may have taken its place.
+/// After a gap this long between ticks, the process counts as stalled and another node may own its
+/// limits.
 constexpr Duration kStallThreshold = std::chrono::milliseconds(500);
 
-/// Of the listed nodes: a keeper that hears of no more than this grants its own part of the limit
-/// alone, as the others may have a keeper as well. So the keepers of two parts of a fleet give one
-/// and a half times the limit at most.
+/// An owner that reaches at most this share of the nodes grants only that share of the limit, since
+/// the unreachable nodes may have another owner. Two partitions together grant at most 1.5 times
+/// the limit.
 constexpr double kMaxMinorityShare = 0.5;
 
-/// Permits that were given back are kept up to this; more come only with a burst of lost
-/// connections.
+/// Bounds memory after a burst of failed connections.
 constexpr std::size_t kMaxReturnedPermits = 64;
 
 std::uint32_t to_message_ms(Duration duration) {
@@ -34,7 +34,7 @@
   return static_cast<std::uint32_t>(std::clamp<std::int64_t>(whole_ms(duration), 0, kMax));
 }
 
-/// @return whole milliseconds that are no less than the duration.
+/// @return milliseconds, rounded up.
 std::uint32_t to_message_ms_ceil(Duration duration) {
   return to_message_ms(duration + std::chrono::microseconds(999));
 }
@@ -61,7 +61,7 @@
   if (this->io.engines.limits().any()) this->update_ownership();
 }
 
-/// Calls that have waited may be taken before the first tick.
+/// Also called before a tick, since queued calls may be processed first after a stall.
 void EnginePermits::detect_stall() {
   const MonotonicTime now = this->io.runtime.now();
   if (now - this->last_tick_at <= kStallThreshold) return;
@@ -69,7 +69,7 @@
   for (auto& [engine, owned] : this->owned_limits) owned.owner_since.reset();
 }
 
-/// Asks the nodes that come before this one, or before the one that it goes by.
+/// Updates the ownership of limits and probes nodes that precede the current owner.
 void EnginePermits::update_ownership() {
   const MonotonicTime now = this->io.runtime.now();
   std::erase_if(this->owned_limits,
@@ -87,7 +87,7 @@
   OwnedLimit& owned = this->owned_limits[engine];
   const double limit = this->io.engines.limits().limit(engine).value_or(0);
   const MonotonicTime now = this->io.runtime.now();
-  // What was granted at a higher limit is void.
+  // A lower limit voids earlier permits.
   if (!owned.per_second || limit < *owned.per_second) {
     owned.schedule.begin(now, limit);
   } else if (limit > *owned.per_second) {
@@ -107,7 +107,7 @@
     return false;
   }
   if (!owned.owner_since) {
-    // Who comes first has been in charge for as long as it has run.
+    // The preferred owner has been the owner for as long as it has run.
     owned.owner_since = this->owner_selector.is_first(engine) ? this->stable_since : now;
     owned.schedule.begin(now, *owned.per_second);
     log_event(LogArea::kControl, LogLevel::kInfo, "keeps_limit",
@@ -118,7 +118,7 @@
   return true;
 }
 
-/// Decides as the keeper, if this node is it.
+/// Decides on a request if this node owns the limit.
 EnginePermits::Decision EnginePermits::decide(const EngineId& engine,
                                               const std::optional<SendWindow>& window) {
   const MonotonicTime now = this->io.runtime.now();
@@ -188,7 +188,7 @@
   this->peers->send(node, encode(call));
 }
 
-/// Other engines are tried meanwhile: the keeper may be gone.
+/// The owner may be gone; the request tries other engines.
 void EnginePermits::on_call_timeout(std::uint64_t number) {
   const auto found = this->pending_calls.find(number);
   if (found == this->pending_calls.end()) return;
@@ -241,7 +241,7 @@
       from_owner ? std::chrono::milliseconds(answer.next_in_ms) : Duration(kAskKeeperAgain);
   this->io.engines.on_next_permit(answer.engine, now + next);
   if (!granted) return pending.handler(std::nullopt);
-  // The keeper counts from some moment between the call and its answer.
+  // The owner's delay starts at some time between the call and its answer.
   const std::chrono::milliseconds delay(answer.leaves_in_ms);
   pending.handler(SendPermit{answer.engine, now + delay, pending.sent_at + delay + kPermitLifetime,
                              answer.limit.a_second.value_or(0)});
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Permits to send requests to engines that have named a limit. A limit holds over all nodes, so
-/// that one node keeps each engine's limit and grants the sends, one by one and by demand; a node
-/// without a permit sends such an engine nothing.
+/// Permits to send requests to engines with a rate limit. A limit applies to all nodes together, so
+/// one node owns each engine's limit and grants sends one by one on demand. Nodes send nothing to a
+/// limited engine without a permit.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 
 namespace shuntbank::relay {
 
-/// What it works with. All of it outlives it.
+/// Dependencies; all must outlive the permits.
 struct EnginePermitsIo {
   Runtime& runtime;
   EngineDirectory& engines;
@@ -30,39 +30,39 @@
   EngineListener& listener;
 };
 
-/// A permit is good for so long from its time: as long as a connection over a slow link may take.
-/// The sends of a window are the permits of that much more.
+/// How long a permit is valid: covers connection setup over a slow link. A rate window may exceed
+/// its limit by the permits of this time.
 constexpr Duration kPermitLifetime = std::chrono::milliseconds(400);
 
 /// One send to an engine.
 struct SendPermit {
   EngineId engine;
-  MonotonicTime valid_from{};   ///< Not before.
-  MonotonicTime valid_until{};  ///< Its first byte leaves by then, or not at all.
-  double limit_per_second = 0;  ///< The limit that it was granted under; void under a lower one.
+  MonotonicTime valid_from{};
+  MonotonicTime valid_until{};  ///< Latest time for the first byte.
+  double limit_per_second = 0;  ///< Limit at the time of the grant; a lower one voids the permit.
 
   bool operator==(const SendPermit&) const = default;
 };
 
-/// When a send that is asked for can be of use.
+/// Time window in which a requested send is useful.
 struct SendWindow {
-  Duration earliest{};  ///< From now: it cannot leave before.
-  Duration max_wait{};  ///< From then on.
+  Duration earliest{};  ///< From now.
+  Duration max_wait{};  ///< From `earliest`.
 };
 
-/// The permits of one node: those that it asks for, and those that it grants as a keeper.
+/// Requests permits for this node, and grants permits for the limits that it owns.
 class EnginePermits {
  public:
-  /// Called once: with a permit, or with nothing where none can be had in time.
+  /// Called once, with a permit or with nothing if none is available in time.
   using Handler = std::function<void(std::optional<SendPermit>)>;
 
-  /// @param seed tells this process from others of the same name.
+  /// @param seed distinguishes this process from earlier ones of the same node.
   EnginePermits(const EnginePermitsIo& own_io, std::uint64_t seed) : io(own_io), boot_id(seed) {}
 
-  /// Sets the way to the other nodes, and this node's name among them. Until their list is known
-  /// nothing is granted. Without a call of this the node is alone.
+  /// Connects to the other nodes. Grants nothing until `set_nodes`. A node that is never connected
+  /// owns all limits.
   void connect(const NodeId& own_name, PermitPeers& others);
-  /// The way to the other nodes is closed: nothing is granted any more.
+  /// Disconnects from the other nodes; no permits are granted from here on.
   void disconnect() { this->peers = nullptr; }
   void set_nodes(std::vector<NodeId> nodes);
 
@@ -70,26 +70,27 @@
     return this->io.engines.limits().limit(engine).has_value();
   }
 
-  /// Asks for one send, which may have to wait for its time. The handler may be called at once.
+  /// Requests a permit for one send, which may start later. The handler may run before this
+  /// returns.
   void acquire(const EngineId& engine, const SendWindow& window, Handler handler);
 
-  /// The permit was not used: nothing has reached the engine.
+  /// Returns an unused permit: nothing has reached the engine.
   void release(const SendPermit& permit);
 
-  /// The last question before the first byte leaves.
-  /// @return whether a request may go to the engine now.
+  /// Final check before the first byte is sent.
+  /// @return whether a request may be sent to the engine now.
   bool may_send(const EngineId& engine, const std::optional<SendPermit>& permit) const;
 
-  /// Takes a message of another node.
+  /// Handle messages of other nodes.
   void on_call(const PermitCall& call);
   void on_answer(const PermitAnswer& answer);
 
  private:
-  /// An engine whose limit this node keeps, or may come to keep.
+  /// A limit that this node owns or may come to own.
   struct OwnedLimit {
     PermitSchedule schedule;
     std::optional<MonotonicTime> owner_since;
-    std::optional<double> per_second;  ///< That the schedule goes by.
+    std::optional<double> per_second;  ///< Rate of the schedule.
   };
   struct PendingCall {
     EngineId engine;
@@ -108,7 +109,7 @@
   void update_ownership();
   bool is_owner(const EngineId& engine, OwnedLimit& owned);
   OwnedLimit& owned_limit(const EngineId& engine);
-  /// @param span unset where only a sign of life is asked for.
+  /// @param window unset to only probe the owner.
   Decision decide(const EngineId& engine, const std::optional<SendWindow>& window);
   void acquire_from_owner(const NodeId& owner, const EngineId& engine, const SendWindow& window,
                           Handler handler);
@@ -127,11 +128,11 @@
   PermitPeers* peers = nullptr;
   bool nodes_known = false;
   KeeperChoice owner_selector{NodeId()};
-  MonotonicTime stable_since{};  ///< This node has run without a break, and known the others.
+  MonotonicTime stable_since{};  ///< Start of uninterrupted operation with a known node list.
   MonotonicTime last_tick_at{};
   std::unordered_map<EngineId, OwnedLimit> owned_limits;
   std::map<std::uint64_t, PendingCall> pending_calls;
-  std::vector<SendPermit> returned_permits;  ///< Given back and still good.
+  std::vector<SendPermit> returned_permits;  ///< Unused and still valid.
   std::uint64_t last_call_number = 0;
   std::unique_ptr<Periodic> ticker;
 };
--- a/src/relay/lease_keeper.cpp
+++ b/src/relay/lease_keeper.cpp
@@ -18,7 +18,7 @@
     : runtime_(runtime),
       store_(store),
       node_(node),
-      // A start of a process is a holder of its own: what it knew of the lease is gone.
+      // Each process is a separate holder: it has no lease state of earlier ones.
       holder_(self + "/" + runtime.random_hex(4)),
       settings_(settings),
       lease_(NodeId(holder_), settings.lease),
@@ -54,7 +54,8 @@
   for (const auto& handler : handlers_) handler();
 }
 
-/// A few nodes stand by closely; of the rest, one looks now and then in case those are all gone.
+/// A few standby nodes read the lease frequently; the others read rarely, in case all standbys
+/// fail.
 void LeaseKeeper::update_standby_interval() {
   const Fleet& fleet = node_.fleet();
   const Duration renew_interval = settings_.lease.renew_every;
--- a/src/relay/lease_keeper.hpp
+++ b/src/relay/lease_keeper.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Keeps a lease in the store: the one machinery for everything that one node does for the whole
-/// fleet.
+/// Holds a lease in the store. Tasks that one node performs for the whole fleet run under this
+/// lease.
 #pragma once
 
 #include <functional>
@@ -16,39 +16,39 @@
 
 namespace shuntbank::relay {
 
-/// Where the lease lies in the store.
+/// Key of the lease object in the store.
 struct LeaseLocation {
   std::string kind = "shuntbank-leases";
   std::string name = "roles";
 };
 
-/// This node's part in the lease.
+/// Acquires and renews the lease for this node.
 class LeaseKeeper {
  public:
-  /// All references outlive this.
+  /// All references must outlive this object.
   LeaseKeeper(Runtime& runtime, store::ObjectStore& store, const RelayNode& node,
               const std::string& self, const LeaseKeeperSettings& settings);
   ~LeaseKeeper();
   LeaseKeeper(const LeaseKeeper&) = delete;
   LeaseKeeper& operator=(const LeaseKeeper&) = delete;
 
-  /// Gives the lease up for good: the process is to stop.
+  /// Gives up the lease permanently: the process is stopping.
   void stop();
 
-  /// Gives the lease up: somebody has seen a newer holder's fence.
+  /// Gives up the lease because a newer holder's fence was seen.
   void resign() { lease_.resign(); }
 
-  /// @return the fence while this node may act, else nothing. Ask right before each call leaves: a
-  /// process that stood still may have lost the lease meanwhile.
+  /// @return the fence while this node may act, else nothing. Check right before each call: the
+  /// lease may have expired while the process was stalled.
   std::optional<Fence> authority() const;
 
-  /// @return how long this node has held the lease without a break; zero while it does not.
+  /// @return how long this node has held the lease continuously; zero if it does not.
   Duration held_for() const;
 
-  /// @return the holder's name in the lease: this start of the process.
+  /// @return the holder name in the lease, unique to this process.
   const std::string& holder() const { return holder_; }
 
-  /// Adds what is called at each tick while this node may act.
+  /// Adds a handler that runs at each tick while this node may act.
   void on_tick(std::function<void()> handler) { handlers_.push_back(std::move(handler)); }
 
  private:
--- a/src/relay/permit_exchange.cpp
+++ b/src/relay/permit_exchange.cpp
@@ -28,7 +28,7 @@
   if (record != nullptr) this->transport.send(record->address, bytes);
 }
 
-/// Nodes that are not listed keep no limits and are granted nothing: their list may lack us, too.
+/// Drops messages of unlisted nodes, which may not own limits or get permits.
 void PermitExchange::on_message(std::string_view bytes) {
   if (is_permit_call(bytes)) {
     const auto call = decode_permit_call(bytes);
--- a/src/relay/permit_exchange.hpp
+++ b/src/relay/permit_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Carries the messages about permits between nodes.
+/// Sends and receives permit messages between nodes.
 #pragma once
 
 #include <functional>
@@ -12,14 +12,15 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node.
+/// Connects the permits of one node to the peer transport.
 class PermitExchange : public PermitPeers {
  public:
-  /// All references outlive this. @param share of the listed nodes that is heard of now.
+  /// All references must outlive this object.
+  /// @param own_live_fraction returns the fraction of the listed nodes that are live.
   PermitExchange(PeerTransport& own_transport, const PeerDirectory& own_peers,
                  EnginePermits& own_permits, std::function<double()> own_live_fraction);
 
-  /// The list of nodes has come, or has changed.
+  /// Passes on the current list of nodes.
   void update_nodes();
 
   void on_message(std::string_view bytes);
--- a/src/relay/permit_peers.hpp
+++ b/src/relay/permit_peers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The port through which nodes ask each other for permits.
+/// Interface for sending permit messages to other nodes.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace shuntbank::relay {
 
-/// The other nodes.
+/// Connection to the other nodes.
 class PermitPeers {
  public:
   PermitPeers() = default;
@@ -17,10 +17,10 @@
   PermitPeers(const PermitPeers&) = delete;
   PermitPeers& operator=(const PermitPeers&) = delete;
 
-  /// Sends a message; it may be lost, doubled or late.
+  /// Sends a message, which may be lost, duplicated or delayed.
   virtual void send(const NodeId& node, const std::string& bytes) = 0;
 
-  /// @return the share of the listed nodes that is heard of now, this one included.
+  /// @return the fraction of the listed nodes that are live, this one included.
   virtual double live_fraction() const = 0;
 };
 
--- a/src/relay/policy_options.hpp
+++ b/src/relay/policy_options.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Command-line options that change or switch off what a relay node decides by. They are for
-/// experiments and ablations: the defaults are what a deployment should run with.
+/// Command-line options for the policies of a relay node. They are meant for experiments;
+/// deployments should use the defaults.
 #pragma once
 
 #include <boost/program_options/options_description.hpp>
@@ -12,16 +12,16 @@
 
 namespace shuntbank::relay {
 
-/// What a command line asks for.
+/// Parsed command line.
 struct PolicyCommandLine {
   RelaySettings settings;
-  bool help = false;  ///< Only the options are to be shown.
+  bool help = false;  ///< Only print the options.
 };
 
-/// @return the options, with the values of `settings` as defaults, which they overwrite.
+/// @return the options, which default to the values in `settings` and overwrite them.
 boost::program_options::options_description policy_options(RelaySettings& settings);
 
-/// Takes options over into settings. @return the settings, or what is wrong with the command line.
+/// @return the settings changed by the options, or the errors of the command line.
 tl::expected<PolicyCommandLine, Findings> parse_policy_options(int argc, const char* const* argv,
                                                                const RelaySettings& settings);
 
--- a/src/relay/quarantine.cpp
+++ b/src/relay/quarantine.cpp
@@ -9,24 +9,21 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Between two looks at what is too old.
 constexpr Duration kExpiryInterval = std::chrono::seconds(1);
 
-/// An engine that has ended refuses at once; one that lives answers within a few milliseconds.
+/// A crashed engine refuses connections at once; a live one answers within milliseconds.
 constexpr Duration kLivenessTimeout = std::chrono::milliseconds(500);
 
-/// Between two times that a piece of news is told: a burst of lost messages is shorter, and a node
-/// tells its load each second at least.
+/// Longer than a typical burst of message loss; load messages carry reports at least once a second.
 constexpr Duration kResendInterval = std::chrono::milliseconds(300);
 
-/// Times that a piece of news is told: of four messages, each lost one time in ten, all are lost
-/// once in 10,000.
+/// At 10% message loss, one report in 10,000 is lost.
 constexpr int kSendsPerReport = 4;
 
-/// News in one message, about 30 bytes each; more wait for the next one.
+/// About 30 bytes each; the rest wait for the next message.
 constexpr std::size_t kMaxReportsPerMessage = 12;
 
-/// News that wait; the oldest go first.
+/// The oldest are dropped first.
 constexpr std::size_t kMaxPendingReports = 500;
 
 std::uint32_t age_ms(MonotonicTime now, MonotonicTime at) {
@@ -75,8 +72,8 @@
   this->queue_report(CrashNews::kOffTrial, {request, 0}, key, this->io.runtime.now());
 }
 
-/// @return whether what was sent to the engine then may have ended it. One that has said that it
-/// leaves ends whatever it is sent.
+/// @return whether a request sent to the engine at `sent_at` may have crashed it. Draining engines
+/// interrupt all their requests.
 bool Quarantine::may_have_crashed(const EngineId& engine, MonotonicTime sent_at) const {
   const EngineView* view = this->io.engines.find(engine);
   if (view == nullptr || view->record.draining) return false;
@@ -114,14 +111,14 @@
 
 void Quarantine::extend_quarantine(const RequestIdentity& request) {
   this->ledger.on_held_again(this->io.runtime.now(), request);
-  // A node that has just started may not know yet.
+  // A node that has just started may not know of it yet.
   this->queue_evidence(request);
 }
 
 void Quarantine::on_engine_crashed(const EngineId& engine) {
   const EngineKey key = engine_key(engine);
   this->ledger.on_engine_ended(this->io.runtime.now(), key);
-  // What was told as broken off, or kept back as silence, can now be told for certain.
+  // Interruptions and unresponsiveness of this engine are now confirmed as a crash.
   for (const RequestIdentity& request : this->ledger.broken_by(key)) {
     if (this->reported_requests.count(request) > 0) this->queue_evidence(request);
   }
@@ -227,13 +224,13 @@
   }
 }
 
-/// Asks what is open, and says what has been decided.
+/// Starts the pending liveness checks and publishes new quarantines.
 void Quarantine::process_ledger() {
   const MonotonicTime now = this->io.runtime.now();
   for (const EngineKey key : this->ledger.take_questions(now)) this->check_liveness(key);
   for (const HeldRequest& entry : this->ledger.take_verdicts(now)) {
-    // All nodes come to it by what a few have seen; these tell, so that the messages of a fleet do
-    // not grow with its square.
+    // All nodes reach the same result; only those with evidence of their own report it, so that
+    // traffic does not grow with the square of the fleet.
     const bool own = this->reported_requests.count(entry.request) > 0;
     this->log_quarantined(entry, own ? "seen" : "heard");
     if (own) this->queue_evidence(entry.request);
@@ -260,7 +257,7 @@
   });
 }
 
-/// Another start of the engine, or of another one, answers at the address.
+/// @return whether another incarnation or another engine answers at the address.
 bool Quarantine::is_replaced(const LivenessCheck& check, const HttpReply& reply) const {
   if (reply.status == http_status::kMisdirected) return true;
   if (reply.status != http_status::kOk) return false;
@@ -280,7 +277,7 @@
   if (connection_refused || replaced) return this->on_engine_crashed(engine);
   if (!reply) return;
   this->io.listener.on_response_head(engine, reply->status, reply->headers);
-  // It was asked behind all that is known by then, also where the clock shows the same time.
+  // The check was sent after all known interruptions, even at the same clock reading.
   this->on_engine_answered(engine, sent_at + Duration(1));
   this->queue_report(CrashNews::kLives, {}, engine_key(engine), sent_at);
 }
--- a/src/relay/quarantine.hpp
+++ b/src/relay/quarantine.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Holds back requests that end engine after engine, and sets those apart that may. What it rests
-/// on is in `CrashLedger`; this asks the engines, speaks with the other nodes and tells operators.
+/// Quarantines requests that repeatedly crash engines, and isolates suspects. `CrashLedger`
+/// decides; this class checks engines, exchanges reports with other nodes and informs operators.
 #pragma once
 
 #include <functional>
@@ -20,7 +20,7 @@
 
 namespace shuntbank::relay {
 
-/// What it works with. All of it outlives it.
+/// Dependencies; all must outlive the quarantine.
 struct QuarantineIo {
   Runtime& runtime;
   HttpClient& http;
@@ -30,7 +30,7 @@
   EngineListener& listener;
 };
 
-/// The quarantine of one node.
+/// Quarantine state of one node.
 class Quarantine {
  public:
   explicit Quarantine(const QuarantineIo& own_io);
@@ -38,65 +38,63 @@
   Quarantine(const Quarantine&) = delete;
   Quarantine& operator=(const Quarantine&) = delete;
 
-  /// @return whether nothing is known against any request, so that none needs an identity.
+  /// @return whether there are no suspects, so that requests need no identity.
   bool empty() const { return this->ledger.empty(); }
 
   CrashStanding status(const TriedRequest& attempt) const;
 
-  /// @return the engines at which other suspects are under way.
+  /// @return the engines that currently run other suspects.
   std::set<EngineKey> trial_engines(const RequestIdentity& request) const;
 
-  /// A suspect is sent to an engine, or the engine has it no more.
+  /// Marks the time during which an engine runs a suspect.
   void begin_trial(const RequestIdentity& request, const EngineId& engine);
   void end_trial(const RequestIdentity& request, const EngineId& engine);
 
-  /// An engine broke a request off that it was sent at `sent_at`; or was given up, having said
-  /// nothing for a while.
+  /// An engine interrupted a request sent at `sent_at`, or was given up after a period without
+  /// output.
   void on_interrupted(const TriedRequest& attempt, const EngineId& engine, MonotonicTime sent_at);
   void on_unresponsive(const TriedRequest& attempt, const EngineId& engine, MonotonicTime sent_at);
 
-  /// An engine gave a whole answer: nothing is wrong with the request.
+  /// An engine completed the request, which clears it.
   void on_completed(const RequestIdentity& request);
 
-  /// A try ended without one. The caller may come again, at any node.
+  /// An attempt failed. The caller may retry at any node.
   void on_attempt_failed(const RequestIdentity& request);
 
-  /// A request that is held back has come again.
+  /// A quarantined request was retried.
   void extend_quarantine(const RequestIdentity& request);
 
-  /// An engine has ended.
   void on_engine_crashed(const EngineId& engine);
 
-  /// An engine has answered what it was sent at `sent_at`.
+  /// An engine has answered a request that was sent at `sent_at`.
   void on_engine_answered(const EngineId& engine, MonotonicTime sent_at);
 
-  /// An operator speaks for a request. @return whether it was held back.
+  /// Releases a request on behalf of an operator. @return whether it was quarantined.
   bool release(const RequestIdentity& request);
 
-  /// @return all requests that are held back.
   std::vector<HeldRequest> quarantined() const;
 
-  /// Takes over from the store what an earlier life has held back.
+  /// Restores entries from the store.
   void restore(const std::vector<HeldRequest>& entries);
 
-  /// @return what is to be told to the other nodes now.
+  /// @return the reports that are due to be sent to other nodes.
   std::vector<CrashReport> take_reports();
 
-  /// Takes what other nodes have told.
+  /// Processes reports of other nodes.
   void on_peer_reports(const std::vector<CrashReport>& reports);
 
-  /// Sets what is called when there is news for the other nodes.
+  /// Sets the handler for new reports to send.
   void on_reports_pending(std::function<void()> handler) {
     this->reports_pending_handler = std::move(handler);
   }
 
-  /// Sets what is called when other requests are held back than before. @param own this node saw an
-  /// engine end under the request or was told by an operator; otherwise it has heard of it.
+  /// Sets the handler for changes of the quarantined requests. @param own whether this node saw the
+  /// crash or was told by an operator, rather than by another node.
   using ChangeHandler = std::function<void(bool own)>;
   void on_quarantine_changed(ChangeHandler handler) { this->change_handler = std::move(handler); }
 
  private:
-  /// News on its way to the other nodes.
+  /// A report to be sent to the other nodes.
   struct PendingReport {
     CrashNews event = CrashNews::kBroken;
     RequestIdentity request;
@@ -107,7 +105,7 @@
     MonotonicTime next_send_at{};
   };
   bool may_have_crashed(const EngineId& engine, MonotonicTime sent_at) const;
-  /// @return whether anything is known against a request, whoever sends it.
+  /// @return whether a request is a suspect from any caller.
   bool is_suspect(const RequestIdentity& request) const;
   void queue_report(CrashNews event, const TriedRequest& attempt, EngineKey engine,
                     MonotonicTime at);
@@ -115,7 +113,7 @@
   void apply_report(MonotonicTime now, const CrashReport& report);
   void process_ledger();
   void check_liveness(EngineKey key);
-  /// An engine that was asked whether it lives.
+  /// A liveness check of one engine.
   struct LivenessCheck {
     EngineId engine;
     std::uint64_t started_unix_ms = 0;
@@ -131,7 +129,7 @@
   QuarantineIo io;
   CrashLedger ledger;
   std::vector<PendingReport> pending_reports;
-  std::set<RequestIdentity> reported_requests;  ///< Other nodes have heard of them from this one.
+  std::set<RequestIdentity> reported_requests;  ///< Requests that this node has reported to others.
   std::function<void()> reports_pending_handler;
   ChangeHandler change_handler;
   std::unique_ptr<Periodic> ticker;
--- a/src/relay/quarantine_api.hpp
+++ b/src/relay/quarantine_api.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What operators see of the quarantine, and how they let a request go.
+/// HTTP API for operators to list and release quarantined requests.
 #pragma once
 
 #include <string_view>
@@ -9,11 +9,11 @@
 
 namespace shuntbank::relay {
 
-/// @return whether a call on the operators' address is for the quarantine.
+/// @return whether a path on the operators' address belongs to this API.
 bool is_quarantine_path(std::string_view path);
 
-/// `GET /quarantine` lists what is held back, as JSON. `DELETE /quarantine/IDENTITY` lets one go,
-/// at all nodes; 404 when it is not held back.
+/// `GET /quarantine` lists quarantined requests as JSON. `DELETE /quarantine/IDENTITY` releases one
+/// on all nodes, with 404 if it is not quarantined.
 HttpReply answer_quarantine(const HttpRequest& request, Quarantine& quarantine);
 
 }  // namespace shuntbank::relay
--- a/src/relay/quarantine_store.cpp
+++ b/src/relay/quarantine_store.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-/// The processes of one life share no steady clock with those of the next, so that the object holds
-/// the time of day. That may be off by seconds, which is nothing against the time it measures.
+/// Wall-clock time, since monotonic clocks do not survive a restart. Skew of seconds is negligible
+/// against the quarantine duration.
 Duration time_left_until(std::uint64_t until_unix_ms, std::uint64_t now_unix_ms) {
   const auto left = until_unix_ms > now_unix_ms ? until_unix_ms - now_unix_ms : 0;
   return std::chrono::milliseconds(left);
@@ -58,7 +58,7 @@
 
 QuarantineStore::~QuarantineStore() {
   *this->alive = false;
-  // The node outlives this.
+  // The node outlives this object.
   this->node.quarantine().on_quarantine_changed(nullptr);
 }
 
@@ -85,7 +85,7 @@
   this->call_pending = false;
   const bool missing = !answer && answer.error() == store::StoreError::kMissing;
   if (!answer && !missing) return this->schedule_read(this->settings.retry_interval);
-  // Also before each writing: another node may know more.
+  // Also merged before each write, since another node may have more entries.
   if (answer) {
     this->node.quarantine().restore(
         parse_entries(answer->content, this->runtime.unix_milliseconds()));
@@ -115,14 +115,14 @@
 
 void QuarantineStore::on_written(const StoreResult& answer) {
   this->call_pending = false;
-  // Whatever became of it, a look at the store settles it.
+  // The next read shows whether a failed write took effect.
   if (!answer) this->dirty = true;
   log_event(LogArea::kPlatform, answer ? LogLevel::kInfo : LogLevel::kWarning, "quarantine_kept",
             {{"done", answer.has_value()}, {"why", answer ? "" : store::to_text(answer.error())}});
   if (this->dirty) this->schedule_read(this->settings.retry_interval);
 }
 
-/// Holds what this node holds back, and so also what it has just read.
+/// Includes the entries that were just read.
 json QuarantineStore::content() const {
   std::vector<HeldRequest> entries = this->node.quarantine().quarantined();
   std::sort(entries.begin(), entries.end(), [](const HeldRequest& left, const HeldRequest& right) {
--- a/src/relay/quarantine_store.hpp
+++ b/src/relay/quarantine_store.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps in the store which requests are held back, so that it outlasts the processes that know.
+/// Persists quarantined requests in the store, so that they survive restarts of all nodes.
 #pragma once
 
 #include <memory>
@@ -11,26 +11,26 @@
 
 namespace shuntbank::relay {
 
-/// Where it is kept, and how patient this is.
+/// Key of the object, and timing.
 struct QuarantineStoreSettings {
   std::string kind = "shuntbank-quarantine";
   std::string name = "held";
   Duration call_timeout = std::chrono::milliseconds(1500);
-  /// Between two tries while the store does not answer or others write at the same time. Known to
-  /// the nodes that live, this is in no hurry.
+  /// Retry interval when the store is unavailable or another node writes at the same time. Not
+  /// urgent, since running nodes know the entries.
   Duration retry_interval = std::chrono::seconds(1);
-  /// The node that saw it writes at once. Another one looks behind it so much later, as the first
-  /// may have died meanwhile.
+  /// The node that saw the crash writes at once; another one checks the object after this delay, in
+  /// case that node has failed.
   Duration follow_up_delay = std::chrono::seconds(2);
-  /// Requests in the object; those that are held back longest from now stay. 300 bytes each.
+  /// Requests in the object, at about 300 bytes each; those with the most time left are kept.
   std::size_t max_requests = 200;
 };
 
-/// Reads once, when the process starts; writes when this node comes to hold a request back or lets
-/// one go. One object for all, so that nothing is left behind in the store.
+/// Reads the object at startup and writes it when requests are quarantined or released. All
+/// requests share one object, so that none is left behind in the store.
 class QuarantineStore {
  public:
-  /// All references outlive this.
+  /// All references must outlive this object.
   QuarantineStore(Runtime& own_runtime, store::ObjectStore& own_store, RelayNode& own_node,
                   const QuarantineStoreSettings& own_settings = {});
   ~QuarantineStore();
@@ -53,7 +53,7 @@
   RelayNode& node;
   QuarantineStoreSettings settings;
   bool call_pending = false;
-  bool dirty = false;  ///< What this node holds back differs from what it has written.
+  bool dirty = false;  ///< The entries have changed since the last write.
   std::unique_ptr<Timer> timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/src/relay/relay_metrics.hpp
+++ b/src/relay/relay_metrics.hpp
@@ -9,7 +9,7 @@
 
 namespace shuntbank::relay {
 
-/// Counts what a node did. Labels come from bounded sets: services, results and reasons.
+/// Label values come from bounded sets: services, results and reasons.
 class RelayMetrics {
  public:
   RelayMetrics();
@@ -29,42 +29,41 @@
   /// A send was charged to the retry budget.
   void count_extra_send(const std::string& service);
 
-  /// An attempt failed that could have been made again elsewhere, but for the retry budget.
+  /// A failed attempt was not retried because the retry budget was exhausted.
   void count_budget_exhausted(const std::string& service);
 
-  /// An engine was found ended: nobody listens at its address.
+  /// An engine was found terminated: nothing listens at its address.
   void count_engine_ended(const std::string& service);
 
-  /// An engine has said something of itself beside an answer. @param word `leaving`, `rest`,
-  /// `limit`, `limit_ended` or `unreadable`.
+  /// An engine sent a notice in a response. @param kind `leaving`, `rest`, `limit`, `limit_ended`
+  /// or `unreadable`.
   void count_engine_notice(const std::string& kind);
 
-  /// A request is kept until an engine that rests takes requests again.
+  /// A request was queued until an engine's cooldown ends.
   void count_wait_for_return(const std::string& service);
 
-  /// A send to a limited engine was asked for. @param outcome `granted`, `later`, `unanswered` or
-  /// `not_the_keeper`.
+  /// A permit was requested. @param outcome `granted`, `later`, `unanswered` or `not_the_keeper`.
   void count_permit(const std::string& outcome);
 
-  /// A request is held back from now on. @param source `seen`, `heard` or `store`.
+  /// A request was quarantined. @param source `seen`, `heard` or `store`.
   void count_quarantined(const std::string& source);
 
-  /// A request without a tenant's key in force was refused.
+  /// A request without a valid tenant key was refused.
   void count_key_refused();
 
-  /// A call was made for the whole fleet. @param duty `usage` or `engines`. @param outcome of it.
+  /// A fleet-wide duty call was made. @param duty `usage` or `engines`.
   void count_duty_call(const std::string& duty, const std::string& outcome);
 
-  /// A window of usage was dealt with. @param result such as `reported` or `not_covered`.
+  /// A usage window was closed. @param result such as `reported` or `not_covered`.
   void count_usage_window(const std::string& result);
 
-  /// The first event of a stream was passed on.
+  /// The first event of a stream was forwarded.
   void observe_first_event(const std::string& service, Duration elapsed);
 
   /// Sets a gauge such as `config_version` or `config_age_seconds`.
   void set_gauge(const std::string& name, double value);
 
-  /// @return all figures as text.
+  /// @return all metrics in the text format.
   std::string to_text() const;
 
  private:
--- a/src/relay/role_coordinator.cpp
+++ b/src/relay/role_coordinator.cpp
@@ -8,7 +8,6 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Calls to engines that wait for their answer at the same time.
 constexpr std::size_t kMaxCallsInFlight = 32;
 
 }  // namespace
@@ -36,8 +35,8 @@
   }
 }
 
-/// Asks how many orders the engine has taken, so that the order which follows is refused if another
-/// one, such as a late one of an earlier holder, comes between.
+/// Requests the engine's order count, so that the following order is refused if another one, such
+/// as a late one of an earlier holder, arrives first.
 void RoleCoordinator::request_report(const EngineRecord& record, EngineStage stage) {
   OutgoingRequest call = io_.dialect.ask_report(record.address, record.own_name());
   call.total_timeout = settings_.order_timeout;
@@ -55,7 +54,7 @@
                                 const HttpReply& reply) {
   const auto report = io_.dialect.report(reply.body);
   if (!report) return;
-  // Another start of the engine answers: the order was meant for the one before.
+  // Another incarnation of the engine answers: the order was meant for the previous one.
   const std::uint64_t started = report->started_unix_ms.value_or(record.started_unix_ms);
   if (started != record.started_unix_ms) return;
   EngineListener& listener = node_.listener();
@@ -68,7 +67,7 @@
 
 void RoleCoordinator::send_order(const EngineRecord& record, EngineStage stage,
                                  const EngineReport& report) {
-  // Right before the order leaves: a process that stood still may have lost the lease meanwhile.
+  // Checked right before sending: the lease may have expired while the process was stalled.
   const auto fence = lease_.authority();
   if (!fence) return;
   StageOrder order;
--- a/src/relay/role_coordinator.hpp
+++ b/src/relay/role_coordinator.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Gives engines the orders of the stage planner while this node has the lease.
+/// Sends the stage planner's orders to engines while this node holds the lease.
 #pragma once
 
 #include <memory>
@@ -15,10 +15,10 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node in the planning of engines' stages.
+/// Runs on every node; acts only on the lease holder.
 class RoleCoordinator {
  public:
-  /// All references outlive this.
+  /// All references must outlive this object.
   RoleCoordinator(const RelayIo& io, LeaseKeeper& lease, RelayNode& node,
                   const RoleCoordinatorSettings& settings, const StagePlannerSettings& planner);
   ~RoleCoordinator();
--- a/tests/relay/capacity_coordinator_test.cpp
+++ b/tests/relay/capacity_coordinator_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Records orders; the test says what becomes of them.
+/// Records orders and answers them with a configured outcome.
 class FakeDutyService : public relay::DutyService {
  public:
   explicit FakeDutyService(Runtime& runtime) : runtime_(runtime) {}
@@ -28,7 +28,7 @@
         [handler, outcome = order.spot ? spot_outcome : DutyOutcome::kDone] { handler(outcome); });
   }
 
-  /// @return the last order of that kind, or nothing.
+  /// @return the engine count of the last order of that kind, if any.
   std::optional<std::uint32_t> last_ordered(const std::string& zone, bool spot) const {
     const auto found = std::find_if(orders.rbegin(), orders.rend(), [&](const auto& order) {
       return order.zone.value() == zone && order.spot == spot;
@@ -55,7 +55,7 @@
   return configuration;
 }
 
-/// A node that may order engines, before twelve at full price.
+/// A node with a capacity coordinator and a store.
 struct CoordinatorFixture {
   CoordinatorFixture() { restart("n1"); }
 
--- a/tests/relay/engine_limit_test.cpp
+++ b/tests/relay/engine_limit_test.cpp
@@ -1,10 +1,5 @@
-// Seen: two engines in need had named, in the heads of their answers, 1.3 requests a second that
-// they take from all nodes together; seven nodes went on sending each of them 2 to 3 a second.
-// How it came about: nothing else was wrong. The engines answered well and soon, so that they were
-// chosen as often as before.
-// Cause: nothing read the word. A node that kept it by itself would not mend it: the bound is on
-// the sum of all nodes, and what adds up at seven nodes does not at sixty. Proved by: sends that do
-// not change when the word comes; and by these tests, in which nothing is wrong but that.
+// Tests that a rate limit which an engine announces holds for the sum of all nodes, not for each
+// node.
 #include <criterion/criterion.h>
 
 #include "relay/support/limited_fleet.hpp"
@@ -15,13 +10,14 @@
 
 namespace {
 
-/// Callers a second at all nodes together: many times what the limited engine takes.
+/// Of all nodes together; far above the limit.
 constexpr double kRequestsPerSecond = 60;
 
-/// Of what an engine takes while more is asked for, at least so much is sent to it.
+/// Minimum share of the limit that must be used under overload.
 constexpr double kMinUtilization = 0.8;
 
-/// One engine takes 1.3 a second, another all. @param at the nodes that have callers.
+/// One engine is limited to 1.3 requests per second, the other is unlimited.
+/// @param active_nodes the number of nodes that receive requests.
 void expect_limit_enforced(std::size_t nodes, std::size_t zones, std::size_t active_nodes) {
   LimitedFleet site(nodes, zones);
   for (const char* id : {"e1", "e2"}) site.add_engine(id);
@@ -39,7 +35,7 @@
   cr_assert_geq(utilization, kMinUtilization, "%.2f of the limit is used", utilization);
 }
 
-/// An engine names its limit in the answer to a request that it gets first.
+/// Sends a request and answers it with a limit.
 void announce_limit(RelayFixture& site, const std::string& path, const char* per_second) {
   const std::size_t next = site.http.count();
   site.request(path);
@@ -69,7 +65,7 @@
   site.run(5s);
   site.set_limit("e1", 20);
   site.run(4s);
-  // With fewer than half of them left, they keep to their own part.
+  // With fewer than half of the nodes left, the owner grants only its share.
   for (std::size_t i = 0; i < 3; ++i) {
     const int before = site.received("e1");
     site.kill(i);
@@ -86,7 +82,7 @@
   site.run(5s);
   for (const double per_second : {50.0, 10.0, 1.0, 20.0, 0.0, 5.0}) {
     site.set_limit("e1", per_second);
-    // Where it takes nothing, it is sent one in ten seconds, and may tell it then.
+    // At a limit of zero, one request in ten seconds is sent, whose answer may raise the limit.
     site.run(per_second == 5 ? 16s : 8s);
     cr_assert(site.violations.empty(), "%s", site.violations.front().c_str());
   }
@@ -122,7 +118,7 @@
   cr_assert_eq(reply->headers.get("Retry-After"), "5.00");
 }
 
-// What waits for its connection when the limit is heard, or for longer than its permit is good.
+// A request may still be connecting when the limit arrives, or for longer than its permit is valid.
 Test(engine_limit, rechecks_the_permit_before_the_first_byte) {
   RelayFixture site;
   site.add_engine("e1", "plain");
@@ -154,8 +150,8 @@
   cr_assert_eq(site.http.count(), 5, "that one may have arrived");
 }
 
-// A keeper that has stood still may find others in its place: what it gets first after that are the
-// calls that have waited for it.
+// Another node may own the limit by the time the owner resumes, and queued calls are processed
+// first.
 Test(engine_limit, is_not_granted_by_an_owner_that_has_just_stalled) {
   LimitedFleet site(2, 1);
   site.add_engine("e1");
@@ -178,9 +174,7 @@
   cr_assert_not(acquire());
 }
 
-// Seen: by reading. A caller that left gave the permit of its request back, and the next request
-// used it again, though the first may have reached the engine. Cause: a request that was cancelled
-// was taken for one that was never sent. Proved by this test.
+// A cancelled request may have reached the engine, so its permit counts as used.
 Test(engine_limit, does_not_reuse_the_permit_of_a_cancelled_request) {
   RelayFixture site;
   site.add_engine("e1", "plain");
@@ -194,10 +188,7 @@
   cr_assert_eq(site.http.count(), 2, "it waits for its turn");
 }
 
-// Seen: where all engines that take prompts up were limited, two of three prompts were read for
-// nothing. How it came about: the taker was asked for its permit once the prompt had been read, and
-// granted none in time. Cause: a choice that rested on the taker went ahead without it. Proved by
-// this test, and by prompts read on the rig: 665 to 829 before, 105 after, for as many answers.
+// A prompt prefilled without a permit for its decode engine is wasted work.
 Test(engine_limit, prefills_no_prompt_without_a_decode_permit) {
   RelayFixture site;
   site.add_engine("d1", "model", relay::EngineStage::kDecode);
--- a/tests/relay/engine_notice_test.cpp
+++ b/tests/relay/engine_notice_test.cpp
@@ -1,13 +1,5 @@
-// Seen: requests still reached an engine 2.3 s after its answers had said that it leaves, and went
-// on for 12 s, from all six nodes; and an engine that had asked a node for 3 s of rest got four
-// requests from it in that time, and 33 refusals of it were met in 6 s.
-// How it came about: the store was silent for 11 s, so that the entry of the engine that leaves
-// still said that it was ready. What turned requests away was left alone for 0.4 s, and tried again
-// after that, or sooner where all others had failed the request.
-// Cause: a belief with one source. That an engine leaves was learned from its entry alone, and how
-// long it wants rest was guessed, though the engine says both in the head of its answers. Proved
-// by: sends that go on at all nodes until the store is back; pauses that are those of the guess,
-// whatever was asked for; and by these tests, in which nothing is wrong but what was not heard.
+// Tests that notices in response headers take effect at once, even while the store is unavailable:
+// a draining engine gets no requests, and a requested cooldown is respected.
 #include <criterion/criterion.h>
 
 #include <map>
@@ -37,7 +29,7 @@
   return std::string(site.http.at(transfer).request.headers.get("for-engine"));
 }
 
-/// Sends a request; its prompt is read apart or not. @return the engine that is to answer it.
+/// Sends a request, which may use remote prefill. @return the engine that is to answer it.
 std::string dispatch_prompt(RelayFixture& site) {
   const std::size_t next = site.http.count();
   site.request("/stream/b", {{"tokens", "20000"}});
@@ -56,15 +48,14 @@
   site.http.answer(0, 200, {{"id", "r1"}}, "h1");
   cr_assert_eq(target_engine(site, 1), "d1");
   site.add_engine("d2", "model", EngineStage::kDecode);
-  // By load alone all would go to the first.
+  // By load alone, all requests would go to the first engine.
   for (int i = 0; i < 6; ++i) site.node->engines().on_sent(EngineId("d2"), {20000, false});
-  // The head of a stream comes long before its end.
   site.http.begin(1, 200, sealed_draining());
   for (int i = 0; i < 12; ++i) {
     cr_assert_eq(dispatch_prompt(site), "d2", "also whoever takes up a prompt read apart");
     site.http.answer(site.http.count() - 1, 200, RelayFixture::sealed(), "id: 1\ndata: a\n\n");
     site.runtime.advance(500ms);
-    // What the store says of it is older than what it says itself.
+    // The stored record is older than the engine's notice.
     site.add_engine("d1", "model", EngineStage::kDecode);
   }
   site.http.piece(1, "id: 1\ndata: a\n\n");
@@ -77,8 +68,7 @@
   }
 }
 
-// What waits for its connection when the word comes would reach the engine after it: at a slow link
-// up to 0.6 s, and as many requests as wait.
+// A request that is still connecting when the notice arrives must not reach the engine.
 Test(engine_notice, rechecks_the_engine_before_the_first_byte) {
   RelayFixture site;
   site.add_engine("e1", "plain");
@@ -109,7 +99,7 @@
     site.runtime.advance(200ms);
     const std::size_t next = site.http.count();
     site.request("/safe/b");
-    // Where the other fails as well, none is left but the one that rests.
+    // If the other engine fails too, only the one in cooldown is left.
     for (std::size_t at = next; at < site.http.count(); ++at) {
       received += target_engine(site, at) == "e1" ? 1 : 0;
       site.http.answer(at, 503, {{"id", "r1"}, {"refused", "1"}}, "");
@@ -134,7 +124,7 @@
   cr_assert_eq(site.http.count(), 2, "nothing is sent in vain");
   cr_assert_eq(reply->status, 503);
   cr_assert_eq(reply->headers.get("Retry-After"), "1.60");
-  // One of them leaves meanwhile, by the word of another node.
+  // One of them drains, as reported by another node.
   site.node->engines().on_leaving(EngineId("e2"));
   cr_assert_eq(site.request("/once/c")->headers.get("Retry-After"), "2.60");
   site.node->engines().on_leaving(EngineId("e1"));
@@ -143,9 +133,7 @@
   cr_assert_eq(none->headers.get("Retry-After"), "0.25", "others may start at any time");
 }
 
-// Where engines turn away four of ten requests and ask for up to 3 s of rest, all of them rest at
-// times. Refusing what could wait cost callers a quarter of the answers that they had before the
-// rest was kept.
+// Refusing requests that can wait for the end of a cooldown would fail them needlessly.
 Test(engine_notice, queues_a_request_that_can_meet_its_objective_after_a_cooldown) {
   RelayFixture site;
   for (const char* id : {"e1", "e2"}) site.add_engine(id, "plain");
@@ -177,17 +165,17 @@
   const auto late = site.request("/once/b");
   cr_assert_eq(late->status, 503, "at once");
   cr_assert_eq(late->headers.get("Retry-After"), "2.00");
-  // The caller gives up before the engine is back, though the objective is later.
+  // The caller's deadline is before the end of the cooldown, though the objective is later.
   site.runtime.advance(1500ms);
   const auto short_of_time = site.request("/once/c", {{"deadline", "400"}});
   cr_assert_eq(short_of_time->status, 503, "at once, and not when its time is over");
   site.runtime.advance(200ms);
-  // An engine that takes 0.9 s is back in 0.3 s: too late for an objective of 1 s.
+  // With a latency of 0.9 s and 0.3 s of cooldown left, the objective of 1 s would be missed.
   site.node->engines().on_latency(EngineId("e1"), 900ms);
   cr_assert_eq(site.request("/once/d")->status, 503);
 }
 
-// A prompt that was read apart would be read a second time, at the engine that is back.
+// Otherwise the prompt would be prefilled a second time after the cooldown.
 Test(engine_notice, reuses_a_remote_prefill_after_the_wait) {
   RelayFixture site;
   site.add_engine("reader", "model", EngineStage::kPrefill);
@@ -205,7 +193,7 @@
 
 namespace {
 
-/// A node, its engines and a judge; what happens is drawn.
+/// A node with engines under random events, and a checker of its sends.
 class RandomizedSite {
  public:
   RandomizedSite() {
@@ -215,7 +203,7 @@
     }
   }
 
-  /// One event. @return what a send broke, or empty text.
+  /// Applies one event. @return the violation found, or empty text.
   std::string apply_event(std::uint32_t random) {
     const std::uint32_t kind = random % 16;
     const std::size_t which = random / 16;
@@ -238,7 +226,7 @@
     return relay::start_id("e" + std::to_string(engine), this->incarnations.at(engine)).value();
   }
 
-  /// The store tells of an engine, which it says is ready.
+  /// Delivers the store's record of an engine, without the draining flag.
   void update_record(std::size_t engine) {
     relay::EngineRecord record;
     record.name = "e" + std::to_string(engine);
@@ -300,7 +288,7 @@
     this->site.http.answer(transfer, refused ? 503 : 200, headers, "id: 1\ndata: a\n\n");
   }
 
-  /// Each third request waits for its connection first.
+  /// Every third request is delivered only after a connection delay.
   std::string check_sends() {
     for (; this->checked_transfers < this->site.http.count(); ++this->checked_transfers) {
       const HttpHeaders& headers = this->site.http.at(this->checked_transfers).request.headers;
--- a/tests/relay/quarantine_api_test.cpp
+++ b/tests/relay/quarantine_api_test.cpp
@@ -21,7 +21,7 @@
   return relay::answer_quarantine(request, quarantine);
 }
 
-/// A node that holds one request back.
+/// A node with one quarantined request.
 struct ApiFixture {
   ApiFixture() { this->quarantine().restore({{kRequest, {11, 12, 13}, {5}, 60s}}); }
   relay::Quarantine& quarantine() { return this->site.node->quarantine(); }
--- a/tests/relay/quarantine_test.cpp
+++ b/tests/relay/quarantine_test.cpp
@@ -24,12 +24,12 @@
 
   relay::Quarantine& quarantine() { return this->site.node->quarantine(); }
 
-  /// An engine breaks off what it was sent just now.
+  /// An engine interrupts a request that it was sent just now.
   void interrupt(const std::string& engine) {
     this->quarantine().on_interrupted(kAttempt, EngineId(engine), this->site.runtime.now());
   }
 
-  /// Lets all questions to engines be answered, or find nobody.
+  /// Answers all liveness checks, or refuses their connections.
   void answer_liveness_checks(bool alive) {
     for (std::size_t i = 0; i < this->site.http.count(); ++i) {
       if (this->site.http.at(i).done) continue;
@@ -82,7 +82,7 @@
 }
 
 Test(quarantine, ignores_requests_sent_after_the_crash) {
-  // A connection may still be taken on behalf of an engine that is gone.
+  // A connection may still be accepted on behalf of a crashed engine.
   QuarantineFixture fixture;
   for (const char* engine : {"a", "b", "c"})
     fixture.quarantine().on_engine_crashed(EngineId(engine));
@@ -105,7 +105,7 @@
 }
 
 Test(quarantine, clears_a_request_when_its_engine_is_listed_again) {
-  // The store was away for a while, and with it the engine's entry.
+  // The store was unavailable for a while, and the engine's record with it.
   QuarantineFixture fixture;
   fixture.interrupt("a");
   fixture.site.node->remove_engine("a");
--- a/tests/relay/role_coordinator_test.cpp
+++ b/tests/relay/role_coordinator_test.cpp
@@ -13,8 +13,7 @@
 
 namespace {
 
-/// Nodes that share a store and want to plan, before four decode engines of which two should
-/// prefill.
+/// Nodes with a shared store and four decode engines, two of which should become prefill engines.
 struct CoordinatorNodes {
   explicit CoordinatorNodes(std::size_t count)
       : store(sites.emplace_back(new RelayFixture)->runtime) {
@@ -35,7 +34,7 @@
   return planner;
 }
 
-/// One node's part: the lease, and what is done under it.
+/// The lease and the role coordinator of one node.
 struct Coordinator {
   Coordinator(RelayFixture& site, MemoryStore& store, const std::string& name)
       : lease(site.runtime, store, *site.node, name, site.settings.lease),
@@ -57,7 +56,7 @@
       [&](const auto& sent) { return sent->request.url.find(path) != std::string::npos; }));
 }
 
-/// @return the first order; reports of other engines may have been asked for meanwhile.
+/// @return the first order, skipping report requests.
 const OutgoingRequest& first_order(const RelayFixture& site) {
   const auto order = std::find_if(
       site.http.sent.begin(), site.http.sent.end(),
@@ -108,7 +107,7 @@
   const auto single = coordinator(site, nodes.store, "n1");
   site.runtime.advance(7s);
   cr_assert_eq(count_requests(site, "/report"), 1);
-  // The report is answered when the process wakes: the lease has run out by its own clock.
+  // The report is answered after the stall, when the lease has expired.
   site.runtime.stand_still(20s);
   site.http.answer(0, 200, {}, "decode");
   cr_assert_eq(count_requests(site, "/order"), 0);
@@ -119,7 +118,7 @@
   RelayFixture& site = *nodes.sites[0];
   auto first = coordinator(site, nodes.store, "n1");
   site.runtime.advance(5s);
-  first.reset();  // Killed: the lease stays in the store.
+  first.reset();  // Simulates a crash: the lease stays in the store.
   const auto second = coordinator(site, nodes.store, "n2");
   site.runtime.advance(7s);
   cr_assert_eq(count_requests(site, "/report"), 0);
--- a/tests/relay/support/limited_fleet.hpp
+++ b/tests/relay/support/limited_fleet.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Relay nodes that exchange what they know, callers at some of them, and engines that answer by
-/// themselves and name how many requests a second they take.
+/// Relay nodes that exchange state, with simulated callers and engines that answer and announce
+/// rate limits.
 #pragma once
 
 #include <deque>
@@ -14,7 +14,7 @@
 
 namespace shuntbank::testing {
 
-/// A fleet before plain engines, one of which or all are limited.
+/// A fleet with plain engines, some or all of which are limited.
 class LimitedFleet {
  public:
   static constexpr Duration kStep = std::chrono::milliseconds(10);
@@ -26,17 +26,17 @@
     for (const auto& site : this->fleet.sites) site->add_engine(id, "plain");
   }
 
-  /// An engine names a limit from now on; below zero: none any more.
+  /// Sets the limit that an engine announces from now on; negative: none.
   void set_limit(const std::string& engine, double per_second) {
     this->limits[engine] = per_second;
     if (per_second < 0) return this->checker.clear_limit(engine);
     this->checker.set_limit(this->now(), engine, per_second);
   }
 
-  /// Callers come to a node, so many a second, at moments that are drawn.
+  /// Sets the rate of requests at a node, which arrive at random times.
   void set_callers(std::size_t node, double per_second) { this->caller_rates[node] = per_second; }
 
-  /// The node's process is lost; its callers with it.
+  /// Kills the node's process; its callers are lost with it.
   void kill(std::size_t node) {
     this->caller_rates.erase(node);
     this->checker.reset_node(std::to_string(node));
@@ -50,7 +50,7 @@
 
   MonotonicTime now() const { return this->fleet.runtime.now(); }
 
-  /// @return requests that have reached an engine.
+  /// @return the number of requests that an engine has received.
   int received(const std::string& engine) const {
     const auto found = this->received_counts.find(engine);
     return found == this->received_counts.end() ? 0 : found->second;
@@ -90,7 +90,7 @@
     }
   }
 
-  /// What a node has sent reaches its engine.
+  /// Delivers the requests of a node to their engines.
   void deliver_requests(std::size_t node) {
     ScriptedHttpClient& http = this->fleet.sites[node]->http;
     for (std::size_t& next = this->next_transfers[node]; next < http.count();) {
--- a/tests/support/limit_judge.hpp
+++ b/tests/support/limit_judge.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Judges the requests that reach engines against how many a second the engines have said that they
-/// take from all nodes together.
+/// Checks the requests that reach engines against the rate limits that the engines have announced
+/// for all nodes together.
 #pragma once
 
 #include <algorithm>
@@ -15,27 +15,27 @@
 
 namespace shuntbank::testing {
 
-/// What engines have named, who was told, and what reached them.
+/// Tracks announced limits, the nodes that know them, and requests.
 class LimitChecker {
  public:
-  /// Any span of this length counts.
+  /// Length of the sliding window.
   static constexpr Duration kWindow = std::chrono::seconds(4);
-  /// From the first time that an engine names a limit.
+  /// Time allowed for enforcement to start after the first limit of an engine.
   static constexpr Duration kConvergenceTime = std::chrono::seconds(3);
-  /// From an answer that a node has passed on, for what is on its way; the same for a new figure.
+  /// Allowance for requests in flight when a node receives a limit, or a new one.
   static constexpr Duration kInFlightTime = std::chrono::milliseconds(500);
   static constexpr double kFactor = 1.5;
   static constexpr double kSlack = 5;
 
-  /// An engine takes so many a second from now on.
+  /// Sets the limit of an engine.
   void set_limit(MonotonicTime now, const std::string& incarnation, double per_second) {
     Engine& engine = this->engines[incarnation];
     if (!engine.first_limit_at) engine.first_limit_at = now;
     engine.limits.push_back({now, per_second});
   }
 
-  /// An engine takes what it gets from now on. Whoever sends to it then does nothing wrong, also
-  /// where the engine names a limit again: that is not known before an answer names it.
+  /// Removes the limit of an engine. A later limit applies to a node only once a response announces
+  /// it.
   void clear_limit(const std::string& incarnation) {
     Engine& engine = this->engines[incarnation];
     engine.limits.clear();
@@ -43,7 +43,7 @@
     engine.arrivals.clear();
   }
 
-  /// A node runs a program that does not know limits, or no longer does so.
+  /// Marks a node as running a version without support for limits.
   void set_unaware(const std::string& node, bool is_unaware) {
     this->reset_node(node);
     if (is_unaware) {
@@ -53,13 +53,13 @@
     }
   }
 
-  /// A node has passed an answer on that names a limit.
+  /// A node has forwarded a response that announces a limit.
   void on_limit_received(MonotonicTime now, const NodeAndIncarnation& pair) {
     if (this->unaware.count(pair.node) > 0) return;
     this->engines[pair.incarnation].aware_since.try_emplace(pair.node, now);
   }
 
-  /// A request reaches an engine. @return what it breaks, or empty.
+  /// A request reaches an engine. @return the violation, or empty text.
   std::string on_request(MonotonicTime now, const NodeAndIncarnation& pair) {
     const auto found = this->engines.find(pair.incarnation);
     if (found == this->engines.end()) return "";
@@ -78,7 +78,7 @@
            std::to_string(allowed);
   }
 
-  /// The node has been restarted, stood still or was cut off.
+  /// The node was restarted, stalled or partitioned, and may not know limits any more.
   void reset_node(const std::string& node) {
     for (auto& [incarnation, engine] : this->engines) {
       engine.aware_since.erase(node);
@@ -86,7 +86,7 @@
     }
   }
 
-  /// @return the highest share of what is allowed that any window held.
+  /// @return the highest ratio of received to allowed requests in any window.
   double max_utilization() const { return this->peak_utilization; }
 
  private:
@@ -105,8 +105,7 @@
     std::deque<Arrival> arrivals;
   };
 
-  /// @return what the engine has said that it takes in the window that ends now, with each figure
-  /// in force a moment longer than it was named where the next one is lower.
+  /// @return the number of requests allowed by the limits in the window that ends now.
   static double allowance_in_window(const Engine& engine, MonotonicTime now) {
     constexpr Duration kStep = std::chrono::milliseconds(10);
     double sum = 0;
@@ -116,7 +115,8 @@
     return sum;
   }
 
-  /// @return the highest figure in force at a moment or shortly before it.
+  /// @return the limit at a time; after a decrease the higher one applies for `kInFlightTime`
+  /// longer.
   static double limit_at(const Engine& engine, MonotonicTime at) {
     double highest = 0;
     for (std::size_t i = 0; i < engine.limits.size(); ++i) {
--- a/tests/support/notice_judge.hpp
+++ b/tests/support/notice_judge.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Judges the requests that reach engines against what the engines have said of themselves.
+/// Checks the requests that reach engines against the notices that the engines have sent.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,6 @@
 
 namespace shuntbank::testing {
 
-/// A node and one start of an engine.
 struct NodeAndIncarnation {
   std::string node;
   std::string incarnation;
@@ -20,29 +19,29 @@
   auto operator<=>(const NodeAndIncarnation&) const = default;
 };
 
-/// The words of engines, and the requests that went against them.
+/// Tracks notices and finds requests that violate them.
 class NoticeChecker {
  public:
-  /// At most so many requests may reach an engine within one time of rest, after a moment for those
-  /// that were on their way.
+  /// Limit on requests that reach an engine during one cooldown, not counting those in flight at
+  /// its start.
   static constexpr int kMaxRequestsInCooldown = 2;
   static constexpr Duration kInFlightTime = std::chrono::milliseconds(500);
 
-  /// @param until_none how long after a node has been told that an engine leaves it may still send
-  /// it what callers send.
+  /// @param grace how long a node may still send new requests after a draining notice.
   explicit NoticeChecker(Duration grace) : drain_grace(grace) {}
 
-  /// A node has passed an answer on which says that the engine leaves.
+  /// A node has forwarded a response with a draining notice.
   void on_draining_received(MonotonicTime now, const NodeAndIncarnation& pair) {
     this->draining_since.try_emplace(pair, now);
   }
 
-  /// An engine has turned a request of a node away and asked for rest.
+  /// An engine has refused a request of a node and requested a cooldown.
   void on_cooldown_requested(MonotonicTime now, const NodeAndIncarnation& pair, Duration cooldown) {
     this->cooldowns[pair].push_back({now + kInFlightTime, now + cooldown, 0});
   }
 
-  /// A request reaches an engine. @param sent_at by its caller. @return what it breaks, or empty.
+  /// A request reaches an engine. @param sent_at when the caller sent it. @return the violation, or
+  /// empty text.
   std::string on_request(MonotonicTime now, const NodeAndIncarnation& pair, MonotonicTime sent_at) {
     const auto received = this->draining_since.find(pair);
     const bool known = received != this->draining_since.end();
@@ -59,14 +58,14 @@
     return violated ? pair.incarnation + " had asked " + pair.node + " for rest" : "";
   }
 
-  /// The node has been restarted or stood still, or could not hear.
+  /// The node was restarted, stalled or disconnected, and may not know of notices.
   void reset_node(const std::string& node) {
     const auto of_node = [&](const auto& entry) { return entry.first.node == node; };
     std::erase_if(this->draining_since, of_node);
     std::erase_if(this->cooldowns, of_node);
   }
 
-  /// What the engine has asked for may not have been heard.
+  /// Cooldown notices of this engine may have been lost.
   void reset_cooldowns(const std::string& incarnation) {
     std::erase_if(this->cooldowns,
                   [&](const auto& entry) { return entry.first.incarnation == incarnation; });
