--- a/src/relay/capacity_coordinator.cpp
+++ b/src/relay/capacity_coordinator.cpp
@@ -21,8 +21,8 @@
       node(own_node),
       machine(own_machine),
       settings(own_settings) {
-  this->lease.on_tick([this, living = this->alive] {
-    if (*living) this->tick();
+  this->lease.on_tick([this, still_alive = this->alive] {
+    if (*still_alive) this->tick();
   });
 }
 
@@ -71,7 +71,7 @@
     const capacity::ZoneEngines& present = engines.at(purchase.zone);
     const std::uint32_t current = purchase.spot ? present.spot : present.full;
     if (!this->is_order_due(declared, state, purchase, wanted, current)) continue;
-    const std::uint32_t step = this->next_order_size(declared, state, purchase, wanted, current);
+    const std::uint32_t step = this->next_order_count(declared, state, purchase, wanted, current);
     const auto issued = state.orders.find(purchase);
     const bool unchanged = issued != state.orders.end() && issued->second.engines == step;
     if (unchanged && !this->is_effect_overdue(declared, issued->second)) continue;
@@ -91,10 +91,10 @@
 
 /// @return the engine count to order now: a step from the current or already ordered count towards
 /// the wanted one, within the change budget.
-std::uint32_t CapacityCoordinator::next_order_size(const RelayedService& declared,
-                                                   ServiceState& state, const Purchase& purchase,
-                                                   std::uint32_t wanted,
-                                                   std::uint32_t current) const {
+std::uint32_t CapacityCoordinator::next_order_count(const RelayedService& declared,
+                                                    ServiceState& state, const Purchase& purchase,
+                                                    std::uint32_t wanted,
+                                                    std::uint32_t current) const {
   const auto issued = state.orders.find(purchase);
   const bool pending =
       issued != state.orders.end() && !this->is_effect_overdue(declared, issued->second);
@@ -117,9 +117,9 @@
 void CapacityCoordinator::update_needed(const ServiceName& name, ServiceState& state,
                                         const EnginesByZone& engines) {
   const MonotonicTime now = this->runtime.now();
-  const std::uint32_t seen = capacity::in_all(engines).full;
-  if (seen > state.needed) {
-    state.needed = seen;
+  const std::uint32_t count = capacity::in_all(engines).full;
+  if (count > state.needed) {
+    state.needed = count;
     state.increased_at = now;
   }
   if (state.store_call_pending) return;
@@ -131,9 +131,9 @@
 void CapacityCoordinator::read_needed(const ServiceName& name) {
   this->service_states.at(name).store_call_pending = true;
   this->store.read(this->settings.record_kind, name.value(), this->settings.call_timeout,
-                   [this, living = this->alive,
+                   [this, still_alive = this->alive,
                     name](const tl::expected<store::StoredObject, store::StoreError>& read) {
-                     if (!*living) return;
+                     if (!*still_alive) return;
                      if (read) return this->on_needed_record(name, *read);
                      const auto state = this->service_states.find(name);
                      if (state == this->service_states.end()) return;
@@ -142,14 +142,14 @@
                    });
 }
 
-void CapacityCoordinator::create_needed_record(const ServiceName& name, std::uint32_t seen) {
+void CapacityCoordinator::create_needed_record(const ServiceName& name, std::uint32_t count) {
   this->service_states.at(name).store_call_pending = true;
-  this->store.create(this->settings.record_kind, name.value(), nlohmann::json{{"engines", seen}},
+  this->store.create(this->settings.record_kind, name.value(), nlohmann::json{{"engines", count}},
                      this->settings.call_timeout,
-                     [this, living = this->alive,
-                      name](const tl::expected<store::StoredObject, store::StoreError>& made) {
-                       if (!*living) return;
-                       if (made) return this->on_needed_record(name, *made);
+                     [this, still_alive = this->alive,
+                      name](const tl::expected<store::StoredObject, store::StoreError>& created) {
+                       if (!*still_alive) return;
+                       if (created) return this->on_needed_record(name, *created);
                        // This node or another may have created it: read again.
                        const auto state = this->service_states.find(name);
                        if (state == this->service_states.end()) return;
@@ -202,8 +202,8 @@
              {"needed", state.needed},
              {"fence", *fence}});
   this->duty_service.order_engines({this->machine, *fence}, order, this->settings.call_timeout,
-                                   [this, living = this->alive, order](DutyOutcome outcome) {
-                                     if (*living) this->on_order_answered(order, outcome);
+                                   [this, still_alive = this->alive, order](DutyOutcome outcome) {
+                                     if (*still_alive) this->on_order_answered(order, outcome);
                                    });
 }
 
--- a/src/relay/capacity_coordinator.hpp
+++ b/src/relay/capacity_coordinator.hpp
@@ -55,15 +55,15 @@
   void update_needed(const ServiceName& name, ServiceState& state,
                      const capacity::EnginesByZone& engines);
   void read_needed(const ServiceName& name);
-  void create_needed_record(const ServiceName& name, std::uint32_t seen);
+  void create_needed_record(const ServiceName& name, std::uint32_t count);
   void on_needed_record(const ServiceName& name, const store::StoredObject& object);
   bool is_order_due(const RelayedService& declared, const ServiceState& state,
                     const capacity::Purchase& purchase, std::uint32_t wanted,
                     std::uint32_t current) const;
   void refill_change_budget(ServiceState& state) const;
-  std::uint32_t next_order_size(const RelayedService& declared, ServiceState& state,
-                                const capacity::Purchase& purchase, std::uint32_t wanted,
-                                std::uint32_t current) const;
+  std::uint32_t next_order_count(const RelayedService& declared, ServiceState& state,
+                                 const capacity::Purchase& purchase, std::uint32_t wanted,
+                                 std::uint32_t current) const;
   bool is_effect_overdue(const RelayedService& declared, const IssuedOrder& issued) const;
   void send_order(const ServiceName& name, ServiceState& state, const capacity::Purchase& purchase,
                   std::uint32_t wanted);
--- a/src/relay/engine_permits.cpp
+++ b/src/relay/engine_permits.cpp
@@ -66,53 +66,53 @@
   const MonotonicTime now = this->io.runtime.now();
   if (now - this->last_tick_at <= kStallThreshold) return;
   this->stable_since = now;
-  for (auto& [engine, owned] : this->owned_limits) owned.owner_since.reset();
+  for (auto& [engine, state] : this->limit_states) state.owner_since.reset();
 }
 
 /// Updates the ownership of limits and probes nodes that precede the current owner.
 void EnginePermits::update_ownership() {
   const MonotonicTime now = this->io.runtime.now();
-  std::erase_if(this->owned_limits,
+  std::erase_if(this->limit_states,
                 [this](const auto& entry) { return !this->limited(entry.first); });
   for (const auto& [engine, view] : this->io.engines.all()) {
     if (!this->limited(engine)) continue;
-    this->is_owner(engine, this->owned_limit(engine));
+    this->is_owner(engine, this->limit_state(engine));
     for (const NodeId& node : this->owner_selector.to_ask(now, engine)) {
       this->send_call(node, engine, 0, std::nullopt);
     }
   }
 }
 
-EnginePermits::OwnedLimit& EnginePermits::owned_limit(const EngineId& engine) {
-  OwnedLimit& owned = this->owned_limits[engine];
+EnginePermits::LimitState& EnginePermits::limit_state(const EngineId& engine) {
+  LimitState& state = this->limit_states[engine];
   const double limit = this->io.engines.limits().limit(engine).value_or(0);
   const MonotonicTime now = this->io.runtime.now();
   // A lower limit voids earlier permits.
-  if (!owned.per_second || limit < *owned.per_second) {
-    owned.schedule.begin(now, limit);
-  } else if (limit > *owned.per_second) {
-    owned.schedule.speed_up(now, *owned.per_second, limit);
+  if (!state.per_second || limit < *state.per_second) {
+    state.schedule.begin(now, limit);
+  } else if (limit > *state.per_second) {
+    state.schedule.speed_up(now, *state.per_second, limit);
   }
-  owned.per_second = limit;
-  return owned;
+  state.per_second = limit;
+  return state;
 }
 
-bool EnginePermits::is_owner(const EngineId& engine, OwnedLimit& owned) {
+bool EnginePermits::is_owner(const EngineId& engine, LimitState& state) {
   const MonotonicTime now = this->io.runtime.now();
   if (this->standalone) return true;
   this->detect_stall();
   if (this->peers == nullptr || !this->nodes_known ||
       this->owner_selector.keeper(now, engine) != this->self) {
-    owned.owner_since.reset();
+    state.owner_since.reset();
     return false;
   }
-  if (!owned.owner_since) {
+  if (!state.owner_since) {
     // The preferred owner has been the owner for as long as it has run.
-    owned.owner_since = this->owner_selector.is_first(engine) ? this->stable_since : now;
-    owned.schedule.begin(now, *owned.per_second);
+    state.owner_since = this->owner_selector.is_first(engine) ? this->stable_since : now;
+    state.schedule.begin(now, *state.per_second);
     log_event(LogArea::kControl, LogLevel::kInfo, "keeps_limit",
               {{"engine", engine.value()},
-               {"a_second", *owned.per_second},
+               {"a_second", *state.per_second},
                {"first", this->owner_selector.is_first(engine)}});
   }
   return true;
@@ -122,17 +122,17 @@
 EnginePermits::Decision EnginePermits::decide(const EngineId& engine,
                                               const std::optional<SendWindow>& window) {
   const MonotonicTime now = this->io.runtime.now();
-  OwnedLimit& owned = this->owned_limit(engine);
-  if (!this->is_owner(engine, owned)) return {PermitVerdict::kNotTheKeeper, now, now};
+  LimitState& state = this->limit_state(engine);
+  if (!this->is_owner(engine, state)) return {PermitVerdict::kNotTheKeeper, now, now};
   const MonotonicTime granting_from =
-      owned.owner_since ? *owned.owner_since + kTakeoverDelay : MonotonicTime{};
+      state.owner_since ? *state.owner_since + kTakeoverDelay : MonotonicTime{};
   if (now < granting_from) return {PermitVerdict::kLater, granting_from, granting_from};
   const double live_fraction = this->standalone ? 1 : this->peers->live_fraction();
-  const double rate = *owned.per_second * (live_fraction > kMaxMinorityShare ? 1 : live_fraction);
-  if (!window) return {PermitVerdict::kLater, now, owned.schedule.next(now, rate)};
+  const double rate = *state.per_second * (live_fraction > kMaxMinorityShare ? 1 : live_fraction);
+  if (!window) return {PermitVerdict::kLater, now, state.schedule.next(now, rate)};
   const MonotonicTime earliest = now + window->earliest;
-  const auto send_at = owned.schedule.take(earliest, rate, earliest + window->max_wait);
-  const MonotonicTime next = owned.schedule.next(now, rate);
+  const auto send_at = state.schedule.take(earliest, rate, earliest + window->max_wait);
+  const MonotonicTime next = state.schedule.next(now, rate);
   if (!send_at) return {PermitVerdict::kLater, next, next};
   return {PermitVerdict::kGranted, *send_at, next};
 }
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -86,8 +86,8 @@
   void on_answer(const PermitAnswer& answer);
 
  private:
-  /// A limit that this node owns or may come to own.
-  struct OwnedLimit {
+  /// What is needed to own the limit of one engine.
+  struct LimitState {
     PermitSchedule schedule;
     std::optional<MonotonicTime> owner_since;
     std::optional<double> per_second;  ///< Rate of the schedule.
@@ -107,8 +107,8 @@
   void tick();
   void detect_stall();
   void update_ownership();
-  bool is_owner(const EngineId& engine, OwnedLimit& owned);
-  OwnedLimit& owned_limit(const EngineId& engine);
+  bool is_owner(const EngineId& engine, LimitState& state);
+  LimitState& limit_state(const EngineId& engine);
   /// @param window unset to only probe the owner.
   Decision decide(const EngineId& engine, const std::optional<SendWindow>& window);
   void acquire_from_owner(const NodeId& owner, const EngineId& engine, const SendWindow& window,
@@ -130,7 +130,7 @@
   KeeperChoice owner_selector{NodeId()};
   MonotonicTime stable_since{};  ///< Start of uninterrupted operation with a known node list.
   MonotonicTime last_tick_at{};
-  std::unordered_map<EngineId, OwnedLimit> owned_limits;
+  std::unordered_map<EngineId, LimitState> limit_states;
   std::map<std::uint64_t, PendingCall> pending_calls;
   std::vector<SendPermit> returned_permits;  ///< Unused and still valid.
   std::uint64_t last_call_number = 0;
--- a/src/relay/quarantine.cpp
+++ b/src/relay/quarantine.cpp
@@ -251,9 +251,9 @@
   call.total_timeout = kLivenessTimeout;
   const MonotonicTime sent_at = this->io.runtime.now();
   const LivenessCheck check{engine, view->record.started_unix_ms, sent_at};
-  this->io.http.fetch(std::move(call), [this, living = this->alive, check](
+  this->io.http.fetch(std::move(call), [this, still_alive = this->alive, check](
                                            const tl::expected<HttpReply, TransferError>& reply) {
-    if (*living) this->on_liveness_reply(check, reply);
+    if (*still_alive) this->on_liveness_reply(check, reply);
   });
 }
 
--- a/src/relay/quarantine_store.cpp
+++ b/src/relay/quarantine_store.cpp
@@ -76,8 +76,8 @@
 void QuarantineStore::read() {
   this->call_pending = true;
   this->store.read(this->settings.kind, this->settings.name, this->settings.call_timeout,
-                   [this, living = this->alive](const StoreResult& answer) {
-                     if (*living) this->on_read(answer);
+                   [this, still_alive = this->alive](const StoreResult& answer) {
+                     if (*still_alive) this->on_read(answer);
                    });
 }
 
@@ -101,8 +101,8 @@
   }
   this->call_pending = true;
   this->dirty = false;
-  const auto handler = [this, living = this->alive](const StoreResult& written) {
-    if (*living) this->on_written(written);
+  const auto handler = [this, still_alive = this->alive](const StoreResult& written) {
+    if (*still_alive) this->on_written(written);
   };
   if (answer) {
     this->store.replace(this->settings.kind, this->settings.name, answer->revision, content,
