--- a/src/relay/capacity_coordinator.cpp
+++ b/src/relay/capacity_coordinator.cpp
@@ -167,7 +167,7 @@
                         object.content["engines"].is_number_unsigned();
   if (!readable) {
     return log_event(LogArea::kPlatform, LogLevel::kError, "object_malformed",
-                     {{"name", object.name}, {"why", "no count of engines"}});
+                     {{"name", object.name}, {"why", "engine count is missing or invalid"}});
   }
   state->second.needed = object.content["engines"].get<std::uint32_t>();
   state->second.needed_known = true;
--- a/src/relay/policy_options.cpp
+++ b/src/relay/policy_options.cpp
@@ -22,30 +22,30 @@
 }  // namespace
 
 options::options_description policy_options(RelaySettings& settings) {
-  options::options_description description("Policy of a relay node");
+  options::options_description description("Policy options");
   auto add = description.add_options();
   add("home-share", bind_option(settings.placement.home_share),
-      "of reading the shared parts: how much sooner than their home another engine must be");
+      "lead that another engine needs over the home engine, in prefill times of the shared parts");
   add("pause-share", bind_option(settings.prefill.pause_share),
-      "of the longest pause in time: slower decode engines read no prompts; 0: never read there");
+      "share of the longest in-time event gap; slower decode engines prefill nothing; 0: never do");
   add("held-up-weight", bind_option(settings.prefill.held_up_stream_weight),
-      "cost of reading at a decode engine, for each stream there");
+      "cost of prefill on a decode engine, per stream running there");
   add("in-time-share", bind_option(settings.prefill.in_time_share),
-      "of the time to the objective: requests expected later are deferred; 1000: never");
+      "share of the time to the objective; requests expected later are deferred; 1000: never");
   add("gather-ms", bind_milliseconds(settings.catalog.longest_gather),
-      "longest time for which changes of engines are gathered");
+      "maximum time for which engine changes are batched, in ms");
   add("told-directly", bind_option(settings.exchange.most_told_directly),
-      "peers up to which each node tells all others; with more, load is gathered by zones");
+      "maximum peers for load reports to all nodes; with more, load is aggregated by zone");
   add("collect-ms", bind_milliseconds(settings.exchange.zones.collect_every),
-      "between two sums of a zone's collector");
+      "interval between load sums of a zone's collector, in ms");
   add("stages-at-once", bind_option(settings.stages.share_at_once),
-      "of a service's engines that change their stage in one batch");
+      "maximum share of a service's engines that change stage in one batch");
   add("buy", bind_option(settings.capacity.planner.way),
       "how engines are ordered: none, spot-swap or spot-spare");
   add("full-floor", bind_option(settings.capacity.planner.full_floor),
-      "of the engines that a service needs: kept at full price");
+      "share of the needed engines that is kept at full price");
   add("prefill-share", bind_option(settings.stages.prefill_share),
-      "of a service's engines that read prompts");
+      "share of a service's engines used for prefill");
   return description;
 }
 
@@ -54,7 +54,7 @@
   PolicyCommandLine command_line{settings, false};
   auto description = policy_options(command_line.settings);
   description.add_options()("help", options::bool_switch(&command_line.help),
-                            "show the options and end");
+                            "print the options and exit");
   try {
     options::variables_map values;
     options::store(options::parse_command_line(argc, argv, description), values);
--- a/src/relay/quarantine.cpp
+++ b/src/relay/quarantine.cpp
@@ -136,7 +136,7 @@
   this->reported_requests.erase(request);
   this->queue_report(CrashNews::kCleared, {request, 0}, 0, now);
   log_event(LogArea::kControl, LogLevel::kWarning, "request_let_go",
-            {{"identity", to_text(request)}, {"why", "an operator speaks for it"}});
+            {{"identity", to_text(request)}, {"why", "released by an operator"}});
   this->notify_changed(true);
   return true;
 }
--- a/tests/relay/capacity_coordinator_test.cpp
+++ b/tests/relay/capacity_coordinator_test.cpp
@@ -101,14 +101,15 @@
   fixture.add_four_in_each_zone();
   fixture.site.runtime.advance(8s);
   cr_assert_eq(fixture.duty_service.last_ordered("z1", true).value(), 3,
-               "half of twelve, less the spare zone's");
+               "half of twelve over two zones, the third is spare");
   cr_assert_not(fixture.duty_service.last_ordered("z3", false).has_value(),
                 "no spot engine serves yet");
   for (const char* zone : {"z1", "z2", "z3"}) {
     for (int i = 0; i < 3; ++i) fixture.add("s" + std::to_string(i) + zone, zone, true);
   }
   fixture.site.runtime.advance(4s);
-  cr_assert_eq(fixture.duty_service.last_ordered("z3", false).value(), 0, "the dearest zone");
+  cr_assert_eq(fixture.duty_service.last_ordered("z3", false).value(), 0,
+               "the most expensive zone");
   cr_assert_eq(fixture.duty_service.last_ordered("z2", false).value(), 2);
   cr_assert_not(fixture.duty_service.last_ordered("z1", false).has_value(),
                 "the cheapest zone keeps its four");
@@ -129,7 +130,7 @@
   }
   fixture.site.runtime.advance(1s);
   cr_assert_eq(fixture.duty_service.last_ordered("z1", false).value(), 9,
-               "four and three are left of twelve");
+               "twelve needed, three spot engines left");
 }
 
 Test(capacity_coordinator, new_lease_holder_does_not_count_ordered_engines_as_needed) {
@@ -188,5 +189,5 @@
     cr_assert_leq(bought, before + 80, "second %d: from %u to %u", second, before, bought);
     before = bought;
   }
-  cr_assert_geq(before, 400, "and it gets on");
+  cr_assert_geq(before, 400, "progress within 20 s");
 }
--- a/tests/relay/engine_limit_test.cpp
+++ b/tests/relay/engine_limit_test.cpp
@@ -71,7 +71,7 @@
     site.kill(i);
     site.run(8s);
     cr_assert(site.violations.empty(), "%s", site.violations.front().c_str());
-    cr_assert_gt(site.received("e1") - before, 0.5 * 20 * 8, "another node keeps it");
+    cr_assert_gt(site.received("e1") - before, 0.5 * 20 * 8, "another node owns the limit");
   }
 }
 
@@ -93,7 +93,7 @@
   site.run(2s);
   const int limited = site.received("e1");
   site.run(4s);
-  cr_assert_gt(site.received("e1") - limited, 4 * 20, "it takes what it gets again");
+  cr_assert_gt(site.received("e1") - limited, 4 * 20, "unlimited again");
 }
 
 Test(engine_limit, queues_a_request_that_can_meet_its_objective) {
@@ -113,7 +113,7 @@
   site.add_engine("e1", "plain");
   announce_limit(site, "/safe/a", "0.2");
   const auto reply = site.request("/safe/b");
-  cr_assert_eq(site.http.count(), 1, "nothing is sent in vain");
+  cr_assert_eq(site.http.count(), 1, "no request is sent");
   cr_assert_eq(reply->status, 503);
   cr_assert_eq(reply->headers.get("Retry-After"), "5.00");
 }
@@ -128,7 +128,7 @@
   cr_assert_not(site.http.at(0).request.still_wanted());
   site.http.fail(0, TransferFailure::kWithdrawn);
   site.runtime.advance(200ms);
-  cr_assert_eq(site.http.count(), 3, "it waits for its turn");
+  cr_assert_eq(site.http.count(), 3, "waits for its permit");
   cr_assert(site.http.at(2).request.still_wanted());
   site.runtime.advance(500ms);
   cr_assert_not(site.http.at(2).request.still_wanted());
@@ -141,13 +141,13 @@
   site.request("/once/a");
   site.runtime.advance(1s);
   for (const char* path : {"/once/b", "/once/c"}) site.request(path);
-  cr_assert_eq(site.http.count(), 4, "two at once after a pause");
+  cr_assert_eq(site.http.count(), 4, "burst of two");
   site.http.fail(3, TransferFailure::kNothingSent);
   site.request("/once/d");
   cr_assert_eq(site.http.count(), 5);
   site.http.fail(2, TransferFailure::kUncertain);
   site.request("/once/e");
-  cr_assert_eq(site.http.count(), 5, "that one may have arrived");
+  cr_assert_eq(site.http.count(), 5, "the request may have arrived");
 }
 
 // Another node may own the limit by the time the owner resumes, and queued calls are processed
@@ -185,7 +185,7 @@
   site.caller->caller_leaves();
   cr_assert(site.http.at(1).cancelled);
   site.request("/once/b");
-  cr_assert_eq(site.http.count(), 2, "it waits for its turn");
+  cr_assert_eq(site.http.count(), 2, "waits for its permit");
 }
 
 // A prompt prefilled without a permit for its decode engine is wasted work.
@@ -195,7 +195,7 @@
   announce_limit(site, "/stream/a", "0.2");
   site.add_engine("p1", "model", relay::EngineStage::kPrefill);
   const auto reply = site.request("/stream/b", {{"tokens", "20000"}});
-  cr_assert_eq(site.http.count(), 1, "neither sent nor read");
+  cr_assert_eq(site.http.count(), 1, "neither sent nor prefilled");
   cr_assert_eq(reply->status, 503);
   site.runtime.advance(6s);
   site.request("/stream/c", {{"tokens", "20000"}});
@@ -203,6 +203,6 @@
   cr_assert_eq(site.http.at(1).request.headers.get("for-engine"), "p1");
   site.http.answer(1, 200, {{"id", "r1"}}, "h1");
   for (int i = 0; i < 100 && site.http.count() < 3; ++i) site.runtime.advance(10ms);
-  cr_assert_eq(site.http.count(), 3, "its permit was there");
+  cr_assert_eq(site.http.count(), 3, "the decode permit was available");
   cr_assert_eq(site.http.at(2).request.headers.get("source"), "p1:80/h1");
 }
--- a/tests/relay/engine_notice_test.cpp
+++ b/tests/relay/engine_notice_test.cpp
@@ -52,7 +52,7 @@
   for (int i = 0; i < 6; ++i) site.node->engines().on_sent(EngineId("d2"), {20000, false});
   site.http.begin(1, 200, sealed_draining());
   for (int i = 0; i < 12; ++i) {
-    cr_assert_eq(dispatch_prompt(site), "d2", "also whoever takes up a prompt read apart");
+    cr_assert_eq(dispatch_prompt(site), "d2", "for remote prefills as well");
     site.http.answer(site.http.count() - 1, 200, RelayFixture::sealed(), "id: 1\ndata: a\n\n");
     site.runtime.advance(500ms);
     // The stored record is older than the engine's notice.
@@ -64,7 +64,7 @@
   dispatch_prompt(site);
   site.http.answer(site.http.count() - 1, 503, {{"id", "r1"}, {"refused", "1"}}, "");
   for (std::size_t i = next; i < site.http.count(); ++i) {
-    cr_assert_neq(target_engine(site, i), "d1", "nor where no other is left");
+    cr_assert_neq(target_engine(site, i), "d1", "even if no other engine is left");
   }
 }
 
@@ -80,12 +80,12 @@
   cr_assert_not(site.http.at(1).request.still_wanted());
   site.add_engine("e2", "plain");
   site.http.fail(1, TransferFailure::kWithdrawn);
-  cr_assert_eq(target_engine(site, 2), "e2", "it may run once only, and has reached nobody");
+  cr_assert_eq(target_engine(site, 2), "e2", "the request has not reached any engine");
   site.http.answer(2, 200, RelayFixture::sealed(), "whole");
   cr_assert_eq(reply->status, 200);
   site.runtime.advance(3s);
   cr_assert_lt(site.node->engines().find(EngineId("e1"))->failure_share, 0.01,
-               "nothing was wrong with it");
+               "a cooldown is not a failure");
 }
 
 Test(engine_notice, respects_the_requested_cooldown) {
@@ -110,7 +110,7 @@
   site.node->remove_engine("e2");
   const std::size_t next = site.http.count();
   site.request("/safe/c");
-  cr_assert_eq(target_engine(site, next), "e1", "it has had its rest");
+  cr_assert_eq(target_engine(site, next), "e1", "the cooldown is over");
 }
 
 Test(engine_notice, sets_retry_after_to_the_earliest_cooldown_end) {
@@ -121,7 +121,7 @@
   site.http.answer(1, 503, {{"id", "r1"}, {"refused", "1"}, {"rest-seconds", "2"}}, "");
   site.runtime.advance(400ms);
   const auto reply = site.request("/once/b");
-  cr_assert_eq(site.http.count(), 2, "nothing is sent in vain");
+  cr_assert_eq(site.http.count(), 2, "no request is sent");
   cr_assert_eq(reply->status, 503);
   cr_assert_eq(reply->headers.get("Retry-After"), "1.60");
   // One of them drains, as reported by another node.
@@ -130,7 +130,7 @@
   site.node->engines().on_leaving(EngineId("e1"));
   const auto none = site.request("/once/d");
   cr_assert_eq(none->status, 503);
-  cr_assert_eq(none->headers.get("Retry-After"), "0.25", "others may start at any time");
+  cr_assert_eq(none->headers.get("Retry-After"), "0.25", "default when no engine is left");
 }
 
 // Refusing requests that can wait for the end of a cooldown would fail them needlessly.
@@ -149,7 +149,7 @@
   site.runtime.advance(299ms);
   cr_assert_eq(site.http.count(), 2);
   site.runtime.advance(1ms);
-  cr_assert_eq(site.http.count(), 3, "nobody waits any more for the other");
+  cr_assert_eq(site.http.count(), 3, "the disconnected caller's request is dropped");
   cr_assert_eq(target_engine(site, 2), "e2");
   site.http.answer(2, 200, RelayFixture::sealed(), "whole");
   cr_assert_eq(queued->status, 200);
@@ -168,7 +168,7 @@
   // The caller's deadline is before the end of the cooldown, though the objective is later.
   site.runtime.advance(1500ms);
   const auto short_of_time = site.request("/once/c", {{"deadline", "400"}});
-  cr_assert_eq(short_of_time->status, 503, "at once, and not when its time is over");
+  cr_assert_eq(short_of_time->status, 503, "at once, not at the deadline");
   site.runtime.advance(200ms);
   // With a latency of 0.9 s and 0.3 s of cooldown left, the objective of 1 s would be missed.
   site.node->engines().on_latency(EngineId("e1"), 900ms);
@@ -329,7 +329,7 @@
 }  // namespace
 
 Test(engine_notice, holds_for_any_order_of_events) {
-  SHUNTBANK_PROPERTY("no send goes against what the start of an engine has said of itself", [] {
+  SHUNTBANK_PROPERTY("no send violates a notice of an engine incarnation", [] {
     const auto events = *rc::gen::container<std::vector<std::uint32_t>>(
         200, rc::gen::inRange<std::uint32_t>(0, 1U << 24U));
     RandomizedSite site;
--- a/tests/relay/quarantine_api_test.cpp
+++ b/tests/relay/quarantine_api_test.cpp
@@ -46,7 +46,7 @@
   const std::string path = "/quarantine/" + to_text(kRequest);
   cr_assert_eq(call(fixture.quarantine(), "DELETE", path).status, 200);
   cr_assert(fixture.quarantine().quarantined().empty());
-  cr_assert_eq(call(fixture.quarantine(), "DELETE", path).status, 404, "it is gone");
+  cr_assert_eq(call(fixture.quarantine(), "DELETE", path).status, 404, "already released");
 }
 
 Test(quarantine_api, rejects_invalid_requests) {
--- a/tests/relay/quarantine_test.cpp
+++ b/tests/relay/quarantine_test.cpp
@@ -52,7 +52,7 @@
   QuarantineFixture fixture;
   fixture.interrupt("a");
   cr_assert_eq(fixture.site.http.count(), 0U);
-  cr_assert(fixture.reports().empty(), "nobody needs to know while the try goes on");
+  cr_assert(fixture.reports().empty(), "no report while the attempt continues");
 }
 
 Test(quarantine, clears_a_request_whose_engines_are_alive) {
@@ -61,13 +61,14 @@
   fixture.answer_liveness_checks(true);
   cr_assert_not(fixture.quarantine().status(kAttempt).suspect());
   fixture.site.runtime.advance(1s);
-  cr_assert_eq(fixture.site.http.count(), 3U, "each engine was asked once");
+  cr_assert_eq(fixture.site.http.count(), 3U, "each engine is checked once");
 }
 
 Test(quarantine, quarantines_a_request_whose_engines_crashed) {
   QuarantineFixture fixture;
   for (const char* engine : {"a", "b", "c"}) fixture.interrupt(engine);
-  cr_assert_not(fixture.quarantine().status(kAttempt).held_for, "not before it is known");
+  cr_assert_not(fixture.quarantine().status(kAttempt).held_for,
+                "not before the crashes are confirmed");
   fixture.answer_liveness_checks(false);
   cr_assert(fixture.quarantine().status(kAttempt).held_for.has_value());
 }
@@ -134,7 +135,7 @@
   QuarantineFixture fixture;
   fixture.quarantine().on_unresponsive(kAttempt, EngineId("a"), fixture.site.runtime.now());
   fixture.quarantine().on_attempt_failed(kRequest);
-  cr_assert(fixture.reports().empty(), "silence alone says nothing");
+  cr_assert(fixture.reports().empty(), "unresponsiveness alone is not reported");
   fixture.site.node->remove_engine("a");
   const auto reports = fixture.reports();
   cr_assert_eq(reports.size(), 1U);
@@ -158,7 +159,7 @@
 Test(quarantine, reports_completion_of_a_request_that_a_peer_reported) {
   QuarantineFixture fixture;
   fixture.quarantine().on_peer_reports({{CrashNews::kEnded, kRequest, 1, 5, 100}});
-  cr_assert(fixture.reports().empty(), "those who have seen it tell");
+  cr_assert(fixture.reports().empty(), "only nodes with evidence of their own report");
   fixture.quarantine().on_completed(kRequest);
   const auto reports = fixture.reports();
   cr_assert_eq(reports.size(), 1U);
@@ -172,5 +173,5 @@
   cr_assert_eq(fixture.quarantine().quarantined().size(), 1U);
   cr_assert(fixture.quarantine().release(kRequest));
   cr_assert(fixture.quarantine().quarantined().empty());
-  cr_assert_not(fixture.quarantine().release(kRequest), "once");
+  cr_assert_not(fixture.quarantine().release(kRequest), "released only once");
 }
--- a/tests/relay/role_coordinator_test.cpp
+++ b/tests/relay/role_coordinator_test.cpp
@@ -125,7 +125,7 @@
   site.runtime.advance(13s);
   cr_assert_geq(count_requests(site, "/report"), 1);
   site.http.answer(0, 200, {}, "decode");
-  cr_assert_eq(first_order(site).headers.get("fence"), "2", "the fence has grown");
+  cr_assert_eq(first_order(site).headers.get("fence"), "2", "the fence has increased");
 }
 
 Test(role_coordinator, recovers_from_a_write_whose_answer_was_lost) {
@@ -134,7 +134,7 @@
   nodes.store.lose_answers = true;
   const auto single = coordinator(site, nodes.store, "n1");
   site.runtime.advance(12s);
-  cr_assert_geq(count_requests(site, "/report"), 1, "read back, the write counts");
+  cr_assert_geq(count_requests(site, "/report"), 1, "the write is confirmed by reading it back");
 }
 
 Test(role_coordinator, orders_nothing_while_the_store_is_down) {
--- a/tests/support/notice_judge.hpp
+++ b/tests/support/notice_judge.hpp
@@ -46,7 +46,7 @@
     const auto received = this->draining_since.find(pair);
     const bool known = received != this->draining_since.end();
     if (known && sent_at >= received->second + this->drain_grace) {
-      return pair.incarnation + " had told " + pair.node + " that it leaves";
+      return pair.incarnation + " had announced to " + pair.node + " that it is draining";
     }
     const auto requested = this->cooldowns.find(pair);
     if (requested == this->cooldowns.end()) return "";
@@ -55,7 +55,7 @@
       const bool inside = now > cooldown.from && now < cooldown.until;
       violated = (inside && ++cooldown.requests == kMaxRequestsInCooldown + 1) || violated;
     }
-    return violated ? pair.incarnation + " had asked " + pair.node + " for rest" : "";
+    return violated ? pair.incarnation + " had asked " + pair.node + " for a cooldown" : "";
   }
 
   /// The node was restarted, stalled or disconnected, and may not know of notices.
