--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -34,7 +34,7 @@
 /// its limit by the permits of this time.
 constexpr Duration kPermitLifetime = std::chrono::milliseconds(400);
 
-/// One send to an engine.
+/// Permission for one send to an engine.
 struct SendPermit {
   EngineId engine;
   MonotonicTime valid_from{};
@@ -86,7 +86,7 @@
   void on_answer(const PermitAnswer& answer);
 
  private:
-  /// What is needed to own the limit of one engine.
+  /// Ownership and grant schedule of one engine's limit.
   struct LimitState {
     PermitSchedule schedule;
     std::optional<MonotonicTime> owner_since;
