--- a/src/relay/catalog.cpp
+++ b/src/relay/catalog.cpp
@@ -26,57 +26,58 @@
       started_at_(runtime.now()) {
   store::KindWatchHandlers configuration;
   configuration.on_list = [this](const store::ObjectList& list) {
-    for (const store::StoredObject& object : list.objects) take_configuration(object);
+    for (const store::StoredObject& object : list.objects) apply_configuration(object);
   };
   configuration.on_change = [this](const store::ObjectChange& change) {
     // Without a configuration the last one serves on.
-    if (!change.gone) take_configuration(change.object);
+    if (!change.gone) apply_configuration(change.object);
   };
   store::KindWatchHandlers engines;
-  engines.on_list = [this](const store::ObjectList& list) { take_engines(list); };
-  engines.on_change = [this](const store::ObjectChange& change) { take_engine_change(change); };
+  engines.on_list = [this](const store::ObjectList& list) { apply_engines(list); };
+  engines.on_change = [this](const store::ObjectChange& change) { apply_engine_change(change); };
   store::KindWatchSettings watch;
   watch.freshness = store::Freshness::kMayLag;
-  watch.confirm_first_list = settings.joins;
-  store::KindWatchSettings whole = watch;
-  whole.newest_only = true;
-  configuration_ = std::make_unique<store::KindWatch>(runtime, store, codec.configuration_kind(),
-                                                      whole, std::move(configuration));
+  watch.confirm_first_list = settings.join_existing;
+  store::KindWatchSettings configuration_watch = watch;
+  configuration_watch.newest_only = true;
+  configuration_ = std::make_unique<store::KindWatch>(
+      runtime, store, codec.configuration_kind(), configuration_watch, std::move(configuration));
   engines_ = std::make_unique<store::KindWatch>(runtime, store, codec.engine_kind(), watch,
                                                 std::move(engines));
-  node.on_fleet_changed([this](const Fleet& fleet) { pace(fleet); });
+  node.on_fleet_changed([this](const Fleet& fleet) { update_timing(fleet); });
 }
 
-void Catalog::pace(const Fleet& fleet) {
+void Catalog::update_timing(const Fleet& fleet) {
   // Readers are few in any fleet, and the others go by their hints.
-  const auto nodes = static_cast<std::int64_t>(reads_for_others_ ? 1 : fleet.nodes);
+  const auto nodes = static_cast<std::int64_t>(is_store_reader_ ? 1 : fleet.nodes);
   const Duration wait =
-      std::clamp(settings_.wait_a_node * nodes, settings_.shortest_wait, settings_.longest_wait);
-  const Duration backoff = std::clamp(settings_.backoff_a_node * nodes, settings_.shortest_backoff,
-                                      settings_.longest_backoff);
+      std::clamp(settings_.wait_per_node * nodes, settings_.min_wait, settings_.max_wait);
+  const Duration backoff = std::clamp(settings_.backoff_limit_per_node * nodes,
+                                      settings_.min_backoff_limit, settings_.max_backoff_limit);
   for (const auto& watch : {configuration_.get(), engines_.get()}) {
     watch->set_wait(wait);
     watch->set_longest_backoff(backoff);
   }
-  engines_->set_gather(std::clamp(settings_.gather_a_node * nodes, settings_.shortest_gather,
-                                  settings_.longest_gather));
+  engines_->set_gather(std::clamp(settings_.batch_delay_per_node * nodes, settings_.min_batch_delay,
+                                  settings_.max_batch_delay));
 }
 
 StoreProgress Catalog::progress() const {
-  const std::uint64_t configuration = std::max(configuration_->newest_change(), in_force_revision_);
+  const std::uint64_t configuration = std::max(configuration_->newest_change(), active_revision_);
   return {{configuration, engines_->newest_change()},
           std::min(configuration_->confirmed_latest_at(), engines_->confirmed_latest_at())};
 }
 
 void Catalog::set_readers(const StoreReaders& readers) {
   // A node that has just started counts on the readers until it has had the time to hear of them.
-  const MonotonicTime heard_at = std::max(readers.heard_at, started_at_);
-  const bool others_read = runtime_.now() - heard_at <= settings_.readers_silent;
-  read_with(readers.self || !others_read ? store::Freshness::kLatest : store::Freshness::kMayLag);
-  if (std::exchange(reads_for_others_, readers.self) != readers.self) pace(node_.fleet());
+  const MonotonicTime confirmed_at = std::max(readers.heard_at, started_at_);
+  const bool other_readers_active = runtime_.now() - confirmed_at <= settings_.reader_timeout;
+  set_watch_freshness(readers.self || !other_readers_active ? store::Freshness::kLatest
+                                                            : store::Freshness::kMayLag);
+  if (std::exchange(is_store_reader_, readers.self) != readers.self) update_timing(node_.fleet());
 }
 
-void Catalog::read_with(store::Freshness freshness) {
+void Catalog::set_watch_freshness(store::Freshness freshness) {
   configuration_->set_freshness(freshness);
   engines_->set_freshness(freshness);
 }
@@ -84,98 +85,101 @@
 void Catalog::hint(const CatalogRevisions& revisions) {
   configuration_->hint(revisions.configuration);
   engines_->hint(revisions.engines);
-  hinted_ = std::max(hinted_, revisions.configuration);
-  if (hinted_ <= in_force_revision_ || hinted_timer_) return;
-  ask_again_ = settings_.ask_peer_again;
-  ask_peer_after(settings_.ask_peer_after);
+  hinted_revision_ = std::max(hinted_revision_, revisions.configuration);
+  if (hinted_revision_ <= active_revision_ || peer_fetch_timer_) return;
+  peer_fetch_backoff_ = settings_.initial_peer_fetch_backoff;
+  schedule_peer_fetch(settings_.peer_fetch_delay);
 }
 
-void Catalog::ask_peer_after(Duration delay) {
-  hinted_timer_ = runtime_.after(delay, [this] { look_for_hinted(); });
+void Catalog::schedule_peer_fetch(Duration delay) {
+  peer_fetch_timer_ = runtime_.after(delay, [this] { fetch_hinted(); });
 }
 
 /// A peer tells what this node lacks, some kilobytes, where the store tells all: 245 KB of each
 /// version with 1,450 routes, 0.2 s of an idle link of 10 Mbit/s. The store is asked all the same:
 /// there may be nobody else who knows.
-void Catalog::look_for_hinted() {
-  hinted_timer_.reset();
-  if (hinted_ <= in_force_revision_) return;
-  if (ask_peer_) ask_peer_();
-  ask_peer_after(ask_again_);
-  ask_again_ = std::min(2 * ask_again_, settings_.longest_ask_peer);
+void Catalog::fetch_hinted() {
+  peer_fetch_timer_.reset();
+  if (hinted_revision_ <= active_revision_) return;
+  if (peer_fetch_) peer_fetch_();
+  schedule_peer_fetch(peer_fetch_backoff_);
+  peer_fetch_backoff_ = std::min(2 * peer_fetch_backoff_, settings_.max_peer_fetch_backoff);
 }
 
 ConfigurationCall Catalog::configuration_call() {
-  const bool coming = configuration_->receiving();
-  return {summary(), coming ? settings_.most_beside_store : kMaxConfigurationMessage};
+  const bool receiving = configuration_->receiving();
+  return {own_summary(),
+          receiving ? settings_.max_peer_answer_while_receiving : kMaxConfigurationMessage};
 }
 
-const ConfigurationSummary& Catalog::summary() {
+const ConfigurationSummary& Catalog::own_summary() {
   const RouteTable* table = node_.table();
   if (table == nullptr) return summary_;
-  if (std::exchange(summarized_, table->version()) != table->version()) {
-    summary_ = summarize(table->configuration(), in_force_revision_);
+  if (std::exchange(summarized_version_, table->version()) != table->version()) {
+    summary_ = summarize(table->configuration(), active_revision_);
   }
-  summary_.revision = in_force_revision_;
+  summary_.revision = active_revision_;
   return summary_;
 }
 
-void Catalog::take_from_peer(ConfigurationMessage message) {
-  if (message.revision <= in_force_revision_) return;
-  const bool part = message.part.has_value();
-  const RouteConfiguration nothing;
-  const RouteConfiguration& held = node_.table() ? node_.table()->configuration() : nothing;
-  auto whole = complete(std::move(message), held);
-  if (!whole) {
+void Catalog::apply_peer_configuration(ConfigurationMessage message) {
+  if (message.revision <= active_revision_) return;
+  const bool partial = message.part.has_value();
+  const RouteConfiguration empty;
+  const RouteConfiguration& active = node_.table() ? node_.table()->configuration() : empty;
+  auto completed = complete(std::move(message), active);
+  if (!completed) {
     // Another configuration came into force since this node asked. It asks again.
     return log_event(LogArea::kConfig, LogLevel::kWarning, "config_part_unfit",
-                     {{"in_force", in_force_revision_}, {"why", whole.error()}});
+                     {{"in_force", active_revision_}, {"why", completed.error()}});
   }
-  const std::uint64_t version = whole->configuration.version;
-  log_event(
-      LogArea::kConfig, LogLevel::kInfo, "config_from_peer",
-      {{"version", version}, {"revision", whole->revision}, {"hinted", hinted_}, {"part", part}});
-  node_.adopt(std::move(whole->configuration));
-  note_in_force(version, whole->revision);
-  configuration_->advance(in_force_revision_);
+  const std::uint64_t version = completed->configuration.version;
+  log_event(LogArea::kConfig, LogLevel::kInfo, "config_from_peer",
+            {{"version", version},
+             {"revision", completed->revision},
+             {"hinted", hinted_revision_},
+             {"part", partial}});
+  node_.adopt(std::move(completed->configuration));
+  update_active_revision(version, completed->revision);
+  configuration_->advance(active_revision_);
 }
 
 /// A configuration that was refused, or is older than the one in force, has no say.
-void Catalog::note_in_force(std::uint64_t version, std::uint64_t revision) {
+void Catalog::update_active_revision(std::uint64_t version, std::uint64_t revision) {
   if (node_.table() == nullptr || node_.table()->version() != version) return;
-  in_force_revision_ = std::max(in_force_revision_, revision);
+  active_revision_ = std::max(active_revision_, revision);
 }
 
 std::string Catalog::configuration_for_peer(const ConfigurationCall& call) {
-  if (node_.table() == nullptr || in_force_revision_ <= call.known.revision) return "";
-  ConfigurationMessage message{in_force_revision_, node_.table()->configuration()};
-  if (call.known.revision != 0) message = part_for(call.known, std::move(message), summary());
+  if (node_.table() == nullptr || active_revision_ <= call.known.revision) return "";
+  ConfigurationMessage message{active_revision_, node_.table()->configuration()};
+  if (call.known.revision != 0) message = part_for(call.known, std::move(message), own_summary());
   std::string bytes = encode(message);
-  return bytes.size() <= call.most_bytes && may_give(bytes.size()) ? bytes : "";
+  return bytes.size() <= call.most_bytes && admit_peer_answer(bytes.size()) ? bytes : "";
 }
 
 /// Long answers to many peers at once would take this node's link from its callers.
-bool Catalog::may_give(std::size_t bytes) {
-  if (bytes <= settings_.long_answer) return true;
+bool Catalog::admit_peer_answer(std::size_t bytes) {
+  if (bytes <= settings_.large_answer_bytes) return true;
   const MonotonicTime now = runtime_.now();
-  if (now < gives_again_at_) return false;
+  if (now < next_large_answer_at_) return false;
   // A machine may tell no link.
   const double megabits = std::max(1.0, settings_.link_megabits_per_second);
-  const double bytes_a_second = settings_.link_share_for_peers * megabits * kBytesPerMegabit;
-  gives_again_at_ = now + from_seconds(static_cast<double>(bytes) / bytes_a_second);
+  const double bytes_per_second = settings_.peer_bandwidth_share * megabits * kBytesPerMegabit;
+  next_large_answer_at_ = now + from_seconds(static_cast<double>(bytes) / bytes_per_second);
   return true;
 }
 
-void Catalog::take_configuration(const store::StoredObject& object) {
+void Catalog::apply_configuration(const store::StoredObject& object) {
   if (object.name != codec_.configuration_name()) return;
   auto configuration = codec_.configuration(object.content);
   if (!configuration) return log_malformed(object, configuration.error());
   const std::uint64_t version = configuration->version;
   node_.adopt(std::move(*configuration));
-  note_in_force(version, object.revision);
+  update_active_revision(version, object.revision);
 }
 
-void Catalog::take_engines(const store::ObjectList& list) {
+void Catalog::apply_engines(const store::ObjectList& list) {
   std::vector<EngineRecord> records;
   for (const store::StoredObject& object : list.objects) {
     auto record = codec_.engine(object);
@@ -188,7 +192,7 @@
   node_.set_engines(records);
 }
 
-void Catalog::take_engine_change(const store::ObjectChange& change) {
+void Catalog::apply_engine_change(const store::ObjectChange& change) {
   if (change.gone) return node_.remove_engine(change.object.name);
   const auto record = codec_.engine(change.object);
   if (!record) {
--- a/src/relay/catalog.hpp
+++ b/src/relay/catalog.hpp
@@ -58,13 +58,13 @@
 
   /// Sets how another node is asked for its configuration: the store may turn this node away while
   /// it serves the others, and a key that was taken away must not stay in force here.
-  void set_asking(std::function<void()> ask_peer) { ask_peer_ = std::move(ask_peer); }
+  void set_peer_fetch(std::function<void()> peer_fetch) { peer_fetch_ = std::move(peer_fetch); }
 
   /// @return what this node asks of another one: all that is newer than its own.
   ConfigurationCall configuration_call();
 
   /// Another node has answered what `asking` asked.
-  void take_from_peer(ConfigurationMessage message);
+  void apply_peer_configuration(ConfigurationMessage message);
 
   /// @return what another node lacks of the configuration in force; empty: nothing, or it should
   /// ask somebody else.
@@ -77,16 +77,16 @@
   Duration engines_age() const;
 
  private:
-  void take_configuration(const store::StoredObject& object);
-  void take_engines(const store::ObjectList& list);
-  void take_engine_change(const store::ObjectChange& change);
-  void pace(const Fleet& fleet);
-  void read_with(store::Freshness freshness);
-  void note_in_force(std::uint64_t version, std::uint64_t revision);
-  void ask_peer_after(Duration delay);
-  void look_for_hinted();
-  const ConfigurationSummary& summary();
-  bool may_give(std::size_t bytes);
+  void apply_configuration(const store::StoredObject& object);
+  void apply_engines(const store::ObjectList& list);
+  void apply_engine_change(const store::ObjectChange& change);
+  void update_timing(const Fleet& fleet);
+  void set_watch_freshness(store::Freshness freshness);
+  void update_active_revision(std::uint64_t version, std::uint64_t revision);
+  void schedule_peer_fetch(Duration delay);
+  void fetch_hinted();
+  const ConfigurationSummary& own_summary();
+  bool admit_peer_answer(std::size_t bytes);
 
   Runtime& runtime_;
   const CatalogCodec& codec_;
@@ -95,15 +95,15 @@
   std::unique_ptr<store::KindWatch> engines_;
   CatalogSettings settings_;
   MonotonicTime started_at_;
-  bool reads_for_others_ = false;
-  std::uint64_t in_force_revision_ = 0;  ///< Of the store, at which it holds what is in force.
-  std::uint64_t hinted_ = 0;             ///< Newest revision that others have told of.
-  Duration ask_again_{};                 ///< Until the next peer is asked.
-  ConfigurationSummary summary_;         ///< Of `summarized_`.
-  std::uint64_t summarized_ = 0;         ///< The version whose summary is known; 0: none.
-  MonotonicTime gives_again_at_{};       ///< When peers may have a long answer again.
-  std::function<void()> ask_peer_;
-  std::unique_ptr<Timer> hinted_timer_;
+  bool is_store_reader_ = false;
+  std::uint64_t active_revision_ = 0;     ///< Of the store, at which it holds what is in force.
+  std::uint64_t hinted_revision_ = 0;     ///< Newest revision that others have told of.
+  Duration peer_fetch_backoff_{};         ///< Until the next peer is asked.
+  ConfigurationSummary summary_;          ///< Of `summarized_`.
+  std::uint64_t summarized_version_ = 0;  ///< The version whose summary is known; 0: none.
+  MonotonicTime next_large_answer_at_{};  ///< When peers may have a long answer again.
+  std::function<void()> peer_fetch_;
+  std::unique_ptr<Timer> peer_fetch_timer_;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/configuration_exchange.cpp
+++ b/src/relay/configuration_exchange.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Kinds of nodes that are asked in turn in a large fleet.
-constexpr std::uint64_t kTurns = 3;
+constexpr std::uint64_t kTargetKinds = 3;
 
-void take(const tl::expected<std::string, std::string>& answer,
-          const std::function<void(ConfigurationMessage)>& handler) {
+void deliver_answer(const tl::expected<std::string, std::string>& answer,
+                    const std::function<void(ConfigurationMessage)>& handler) {
   if (!answer || answer->empty()) return;
   auto message = decode_configuration(*answer);
   if (message) return handler(std::move(*message));
@@ -37,62 +37,62 @@
 }
 
 std::string ConfigurationExchange::answer(std::string_view call) const {
-  if (!this->asked) return "";
+  if (!this->request_handler) return "";
   const auto decoded = decode_configuration_call(call);
-  if (decoded) return this->asked(*decoded);
+  if (decoded) return this->request_handler(*decoded);
   log_malformed_message("configuration_call", decoded.error());
   return "";
 }
 
-void ConfigurationExchange::note_peer(const NodeId& peer, std::uint64_t revision) {
-  this->heard[peer] = {revision, this->runtime.now()};
+void ConfigurationExchange::record_peer_revision(const NodeId& peer, std::uint64_t revision) {
+  this->peer_revisions[peer] = {revision, this->runtime.now()};
 }
 
-void ConfigurationExchange::ask(const ConfigurationCall& call, bool by_zones,
-                                std::function<void(ConfigurationMessage)> handler) {
-  if (this->asking) return;
-  const auto addresses = this->addresses_to_ask(by_zones);
+void ConfigurationExchange::request(const ConfigurationCall& call, bool uses_zones,
+                                    std::function<void(ConfigurationMessage)> handler) {
+  if (this->request_pending) return;
+  const auto addresses = this->candidate_addresses(uses_zones);
   if (addresses.empty()) return;
-  const std::size_t drawn = random_number(this->runtime) % addresses.size();
-  this->asking = true;
+  const std::size_t index = random_number(this->runtime) % addresses.size();
+  this->request_pending = true;
   this->transport.call(
-      addresses[drawn], encode(call), this->settings.answer_begins,
+      addresses[index], encode(call), this->settings.first_byte_timeout,
       [this, living = this->alive, asked_at = this->runtime.now(),
        handler = std::move(handler)](const tl::expected<std::string, std::string>& answer) {
         if (!*living) return;
-        this->asking = false;
+        this->request_pending = false;
         log_event(LogArea::kControl, LogLevel::kInfo, "peer_configuration",
                   {{"bytes", answer ? answer->size() : 0},
                    {"why", answer ? "" : answer.error()},
                    {"took_ms", whole_ms(this->runtime.now() - asked_at)}});
-        take(answer, handler);
+        deliver_answer(answer, handler);
       });
 }
 
 /// In a small fleet those that told of the newest one. In a large one by turns the collector, which
 /// reads the store and has the largest machine of the zone; any node of the zone, since the
 /// collector may lack it; and any node at all, since the store may turn the whole zone away.
-std::vector<std::string> ConfigurationExchange::addresses_to_ask(bool by_zones) {
-  if (!by_zones) return this->addresses_with_the_newest();
-  const std::uint64_t turn = this->asks++ % kTurns;
+std::vector<std::string> ConfigurationExchange::candidate_addresses(bool uses_zones) {
+  if (!uses_zones) return this->newest_revision_addresses();
+  const std::uint64_t turn = this->request_count++ % kTargetKinds;
   const PeerRecord* collector = this->zones.source();
   if (turn == 0 && collector != nullptr) return {collector->address};
-  return turn == kTurns - 1 ? this->peers.addresses() : this->peers.near_addresses();
+  return turn == kTargetKinds - 1 ? this->peers.addresses() : this->peers.nearby_addresses();
 }
 
-std::vector<std::string> ConfigurationExchange::addresses_with_the_newest() const {
-  const MonotonicTime since = this->runtime.now() - this->settings.peer_life;
+std::vector<std::string> ConfigurationExchange::newest_revision_addresses() const {
+  const MonotonicTime since = this->runtime.now() - this->settings.peer_timeout;
   std::uint64_t newest = 0;
-  for (const auto& [name, peer] : this->heard) {
+  for (const auto& [name, peer] : this->peer_revisions) {
     if (peer.at >= since) newest = std::max(newest, peer.revision);
   }
-  std::vector<std::string> having;
-  for (const auto& [name, peer] : this->heard) {
+  std::vector<std::string> addresses;
+  for (const auto& [name, peer] : this->peer_revisions) {
     const PeerRecord* record = this->peers.find(name);
     if (record == nullptr || peer.at < since || peer.revision < newest) continue;
-    having.push_back(record->address);
+    addresses.push_back(record->address);
   }
-  return having.empty() ? this->peers.near_addresses() : having;
+  return addresses.empty() ? this->peers.nearby_addresses() : addresses;
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/configuration_exchange.hpp
+++ b/src/relay/configuration_exchange.hpp
@@ -31,39 +31,39 @@
   ConfigurationExchange& operator=(const ConfigurationExchange&) = delete;
 
   /// Sets what is told to a node that asks; empty: nothing that it lacks.
-  void on_asked(std::function<std::string(const ConfigurationCall&)> handler) {
-    this->asked = std::move(handler);
+  void on_request(std::function<std::string(const ConfigurationCall&)> handler) {
+    this->request_handler = std::move(handler);
   }
 
   /// @return the answer to a call of another node; empty: none.
   std::string answer(std::string_view call) const;
 
   /// A node has told this one directly which revision it has.
-  void note_peer(const NodeId& peer, std::uint64_t revision);
+  void record_peer_revision(const NodeId& peer, std::uint64_t revision);
 
   /// Asks another node. Asks nobody while an answer is still to come: two on one link come later
   /// than one.
   /// @param by_zones whether the fleet is large, so that nodes do not hear each other directly.
-  void ask(const ConfigurationCall& call, bool by_zones,
-           std::function<void(ConfigurationMessage)> handler);
+  void request(const ConfigurationCall& call, bool uses_zones,
+               std::function<void(ConfigurationMessage)> handler);
 
  private:
-  struct Heard {
+  struct PeerRevision {
     std::uint64_t revision = 0;
     MonotonicTime at{};
   };
-  std::vector<std::string> addresses_to_ask(bool by_zones);
-  std::vector<std::string> addresses_with_the_newest() const;
+  std::vector<std::string> candidate_addresses(bool uses_zones);
+  std::vector<std::string> newest_revision_addresses() const;
 
   Runtime& runtime;
   PeerTransport& transport;
   const PeerDirectory& peers;
   const ZoneExchange& zones;
   ConfigurationExchangeSettings settings;
-  std::function<std::string(const ConfigurationCall&)> asked;
-  std::map<NodeId, Heard> heard;
-  std::uint64_t asks = 0;
-  bool asking = false;  ///< The answer is still to come.
+  std::function<std::string(const ConfigurationCall&)> request_handler;
+  std::map<NodeId, PeerRevision> peer_revisions;
+  std::uint64_t request_count = 0;
+  bool request_pending = false;  ///< The answer is still to come.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/relay/lease_keeper.cpp
+++ b/src/relay/lease_keeper.cpp
@@ -22,7 +22,7 @@
       holder_(self + "/" + runtime.random_hex(4)),
       settings_(settings),
       lease_(NodeId(holder_), settings.lease),
-      ticker_(std::make_unique<Periodic>(runtime, settings.tick, [this] { tick(); })) {}
+      ticker_(std::make_unique<Periodic>(runtime, settings.tick_interval, [this] { tick(); })) {}
 
 LeaseKeeper::~LeaseKeeper() {
   *alive_ = false;
@@ -58,7 +58,7 @@
 void LeaseKeeper::pace_standby() {
   const Fleet& fleet = node_.fleet();
   const Duration renewed = settings_.lease.renew_every;
-  const Duration others = settings_.others_read_every * static_cast<std::int64_t>(fleet.nodes);
+  const Duration others = settings_.read_interval_per_node * static_cast<std::int64_t>(fleet.nodes);
   const bool close = fleet.rank < settings_.standbys;
   lease_.set_standby_interval(close ? renewed : std::max(renewed, others));
 }
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -17,7 +17,7 @@
 /// A node that joins looks at once.
 PeerDirectorySettings directory_settings(const LoadExchangeSettings& settings) {
   PeerDirectorySettings peers = settings.peers;
-  if (settings.joins) peers.first_look = Duration::zero();
+  if (settings.join_existing) peers.initial_list_delay = Duration::zero();
   return peers;
 }
 
@@ -36,7 +36,7 @@
              [this] { update_fleet(); }),
       zones_(runtime, transport, node, peers_, boot_, settings.zones),
       configurations_(runtime, transport, peers_, zones_, settings.configurations),
-      permits_(transport, peers_, node.permits(), [this] { return share_heard(); }) {
+      permits_(transport, peers_, node.permits(), [this] { return live_fraction(); }) {
   transport_.set_handlers(
       [this](std::string_view bytes, const std::string&) { on_message(bytes); },
       [this](const std::string& call, const std::function<void(std::string)>& reply) {
@@ -48,11 +48,12 @@
         if (on_revisions_) on_revisions_(seen);
       },
       [this] { flush(); });
-  if (settings.joins) {
-    pulls_left_ = settings.most_pulls;
-    pull_timer_ = runtime.after(settings.pull_interval, [this] { pull_caches(); });
+  if (settings.join_existing) {
+    pulls_left_ = settings.max_pulls;
+    pull_timer_ = runtime.after(settings.pull_interval, [this] { pull_cache_snapshot(); });
   }
-  refresh_ = std::make_unique<Periodic>(runtime, settings.refresh, [this] { refresh(); });
+  refresh_timer_ =
+      std::make_unique<Periodic>(runtime, settings.refresh_interval, [this] { refresh(); });
 }
 
 LoadExchange::~LoadExchange() {
@@ -69,89 +70,89 @@
 }
 
 void LoadExchange::update_fleet() {
-  if (by_zones()) {
+  if (uses_zones()) {
     zones_.start();
   } else {
     zones_.stop();
   }
-  node_.set_fleet({nodes(), rank()});
+  node_.set_fleet({node_count(), rank()});
   permits_.update_nodes();
 }
 
-double LoadExchange::share_heard() const {
+double LoadExchange::live_fraction() const {
   const MonotonicTime now = runtime_.now();
-  const Duration life = settings_.zones.collector.member_life;
-  std::size_t heard = 1;
-  if (by_zones()) {
-    if (now - zones_.view_at() <= life) heard = std::max(heard, zones_.nodes_seen());
+  const Duration timeout = settings_.zones.collector.member_life;
+  std::size_t live = 1;
+  if (uses_zones()) {
+    if (now - zones_.last_view_at() <= timeout) live = std::max(live, zones_.view_node_count());
   } else {
-    heard +=
-        static_cast<std::size_t>(std::count_if(heard_.begin(), heard_.end(), [&](const auto& peer) {
-          return now - peer.second.at <= life;
-        }));
+    live += static_cast<std::size_t>(
+        std::count_if(peer_states_.begin(), peer_states_.end(),
+                      [&](const auto& peer) { return now - peer.second.received_at <= timeout; }));
   }
-  return std::min(1.0, static_cast<double>(heard) / static_cast<double>(nodes()));
+  return std::min(1.0, static_cast<double>(live) / static_cast<double>(node_count()));
 }
 
 std::size_t LoadExchange::rank() const {
-  const std::uint64_t own = hash64(self_.value());
+  const std::uint64_t own_hash = hash64(self_.value());
   const PeerRecords& nodes = peers_.nodes();
-  return static_cast<std::size_t>(
-      std::count_if(nodes.begin(), nodes.end(),
-                    [own](const auto& peer) { return hash64(peer.first.value()) < own; }));
+  return static_cast<std::size_t>(std::count_if(
+      nodes.begin(), nodes.end(),
+      [own_hash](const auto& peer) { return hash64(peer.first.value()) < own_hash; }));
 }
 
-void LoadExchange::connect_revisions(std::function<StoreProgress()> own,
-                                     std::function<void(const CatalogRevisions&)> on_heard) {
-  own_progress_ = std::move(own);
-  on_revisions_ = std::move(on_heard);
+void LoadExchange::connect_revisions(
+    std::function<StoreProgress()> own_progress,
+    std::function<void(const CatalogRevisions&)> on_peer_revisions) {
+  own_progress_ = std::move(own_progress);
+  on_revisions_ = std::move(on_peer_revisions);
 }
 
-void LoadExchange::ask_configuration(const ConfigurationCall& call,
-                                     std::function<void(ConfigurationMessage)> handler) {
-  configurations_.ask(call, by_zones(), std::move(handler));
+void LoadExchange::request_configuration(const ConfigurationCall& call,
+                                         std::function<void(ConfigurationMessage)> handler) {
+  configurations_.request(call, uses_zones(), std::move(handler));
 }
 
 /// Asks one peer after the other until one answers. Parts are kept only for engines that are known,
 /// so this waits for their list.
-void LoadExchange::pull_caches() {
+void LoadExchange::pull_cache_snapshot() {
   if (pulls_left_-- <= 0) return;
-  pull_timer_ = runtime_.after(settings_.pull_interval, [this] { pull_caches(); });
+  pull_timer_ = runtime_.after(settings_.pull_interval, [this] { pull_cache_snapshot(); });
   if (!node_.ready()) return;
-  const bool asked = ask_a_peer(
+  const bool sent = call_random_peer(
       kSnapshotCall, [this, alive = alive_](const tl::expected<std::string, std::string>& answer) {
-        if (*alive) take_caches(answer);
+        if (*alive) apply_cache_snapshot(answer);
       });
-  if (asked) pull_timer_.reset();
+  if (sent) pull_timer_.reset();
 }
 
 /// @return whether there was anybody to ask.
-bool LoadExchange::ask_a_peer(std::string_view call, PeerTransport::AnswerHandler handler) {
-  const auto askable = peers_.near_addresses();
-  if (askable.empty()) return false;
-  const std::size_t drawn = random_number(runtime_) % askable.size();
-  transport_.call(askable[drawn], std::string(call), settings_.pull_timeout, std::move(handler));
+bool LoadExchange::call_random_peer(std::string_view call, PeerTransport::AnswerHandler handler) {
+  const auto addresses = peers_.nearby_addresses();
+  if (addresses.empty()) return false;
+  const std::size_t index = random_number(runtime_) % addresses.size();
+  transport_.call(addresses[index], std::string(call), settings_.pull_timeout, std::move(handler));
   return true;
 }
 
-void LoadExchange::take_caches(const tl::expected<std::string, std::string>& answer) {
+void LoadExchange::apply_cache_snapshot(const tl::expected<std::string, std::string>& answer) {
   const auto snapshot =
       answer ? decode_cache_snapshot(*answer) : tl::make_unexpected(answer.error());
   if (!snapshot || snapshot->kept.empty()) {
-    pull_timer_ = runtime_.after(settings_.pull_interval, [this] { pull_caches(); });
+    pull_timer_ = runtime_.after(settings_.pull_interval, [this] { pull_cache_snapshot(); });
     return;
   }
-  for (const PromptRead& kept : snapshot->kept) node_.learn_prompt_read(kept);
+  for (const PromptRead& read : snapshot->kept) node_.learn_prompt_read(read);
   log_event(LogArea::kControl, LogLevel::kInfo, "caches_learned",
             {{"engines", snapshot->kept.size()}, {"bytes", answer->size()}});
 }
 
 std::string LoadExchange::answer(const std::string& call) const {
-  if (call == kSnapshotCall) return snapshot();
+  if (call == kSnapshotCall) return cache_snapshot();
   return is_configuration_call(call) ? configurations_.answer(call) : "";
 }
 
-std::string LoadExchange::snapshot() const {
+std::string LoadExchange::cache_snapshot() const {
   CacheSnapshot snapshot;
   for (const auto& [id, engine] : node_.engines().all()) {
     auto parts = engine.cache.kept();
@@ -170,10 +171,11 @@
 }
 
 Duration LoadExchange::flush_delay() const {
-  const std::size_t told = by_zones() ? 0 : peers_.peer_count();
-  const std::size_t least = std::max<std::size_t>(settings_.peers_a_flush, 1);
-  if (told <= least) return settings_.flush_delay;
-  return settings_.flush_delay * static_cast<std::int64_t>(told) / static_cast<std::int64_t>(least);
+  const std::size_t receivers = uses_zones() ? 0 : peers_.peer_count();
+  const std::size_t per_flush = std::max<std::size_t>(settings_.peers_per_flush, 1);
+  if (receivers <= per_flush) return settings_.flush_delay;
+  return settings_.flush_delay * static_cast<std::int64_t>(receivers) /
+         static_cast<std::int64_t>(per_flush);
 }
 
 LoadMessage LoadExchange::own_message() {
@@ -191,26 +193,27 @@
   if (!own_progress_) return message;
   const StoreProgress progress = own_progress_();
   message.seen = progress.seen;
-  if (reads_for_others()) message.store_age_ms = to_age_ms(runtime_.now(), progress.latest_at);
+  if (is_store_reader()) message.store_age_ms = to_age_ms(runtime_.now(), progress.latest_at);
   return message;
 }
 
 /// In a small fleet the first few of those that are heard, by a hash; in a large one the
 /// collectors.
-bool LoadExchange::reads_for_others() const {
-  if (by_zones()) return zones_.collects_by_rank();
+bool LoadExchange::is_store_reader() const {
+  if (uses_zones()) return zones_.is_designated_collector();
   if (peers_.peer_count() == 0) return false;  // There are none, or the list is still to come.
-  const std::uint64_t own = hash64(self_.value());
+  const std::uint64_t own_hash = hash64(self_.value());
   const MonotonicTime now = runtime_.now();
-  const auto before = std::count_if(heard_.begin(), heard_.end(), [&](const auto& peer) {
-    return now - peer.second.at <= settings_.zones.collector.member_life &&
-           hash64(peer.first.value()) < own;
-  });
-  return static_cast<std::size_t>(before) < settings_.readers;
+  const auto preceding =
+      std::count_if(peer_states_.begin(), peer_states_.end(), [&](const auto& peer) {
+        return now - peer.second.received_at <= settings_.zones.collector.member_life &&
+               hash64(peer.first.value()) < own_hash;
+      });
+  return static_cast<std::size_t>(preceding) < settings_.store_readers;
 }
 
-StoreReaders LoadExchange::readers() const {
-  return {reads_for_others(), std::max(readers_heard_at_, zones_.readers_heard_at())};
+StoreReaders LoadExchange::store_readers() const {
+  return {is_store_reader(), std::max(readers_confirmed_at_, zones_.readers_confirmed_at())};
 }
 
 void LoadExchange::flush() {
@@ -223,7 +226,7 @@
     bytes = encode(message);
   }
   if (bytes.size() > kMaxLoadMessage) return;
-  if (by_zones()) return zones_.tell(std::move(message));
+  if (uses_zones()) return zones_.send_load(std::move(message));
   for (const auto& [name, record] : peers_.nodes()) {
     if (name != self_) transport_.send(record.address, bytes);
   }
@@ -239,20 +242,21 @@
   }
   auto message = decode_load_message(bytes);
   if (!message || message->node == self_) return;
-  if (message->to_collector) return zones_.on_report(*message);
-  take(std::move(*message));
+  if (message->to_collector) return zones_.on_member_load(*message);
+  apply(std::move(*message));
 }
 
-void LoadExchange::take(LoadMessage message) {
+void LoadExchange::apply(LoadMessage message) {
   if (!peers_.is_peer(message.node)) return;
   const MonotonicTime now = runtime_.now();
-  Heard& last = heard_[message.node];
+  PeerState& state = peer_states_[message.node];
   const MessageNumber number{message.boot, message.sequence};
-  if (!number.follows(last.number)) return;
-  last = {number, now};
-  configurations_.note_peer(message.node, message.seen.configuration);
+  if (!number.follows(state.last_message)) return;
+  state = {number, now};
+  configurations_.record_peer_revision(message.node, message.seen.configuration);
   if (message.store_age_ms) {
-    readers_heard_at_ = std::max(readers_heard_at_, from_age_ms(now, *message.store_age_ms));
+    readers_confirmed_at_ =
+        std::max(readers_confirmed_at_, from_age_ms(now, *message.store_age_ms));
   }
   node_.engines().on_peer_load(now, message.node, std::move(message.load));
   for (const EngineTrouble& trouble : message.troubles) {
--- a/src/relay/load_exchange.hpp
+++ b/src/relay/load_exchange.hpp
@@ -35,11 +35,11 @@
 
   /// Sets where this node's progress in the store's changes comes from, and who is told that of
   /// others.
-  void connect_revisions(std::function<StoreProgress()> own,
-                         std::function<void(const CatalogRevisions&)> on_heard);
+  void connect_revisions(std::function<StoreProgress()> own_progress,
+                         std::function<void(const CatalogRevisions&)> on_peer_revisions);
 
   /// @return who reads the store, this node or others.
-  StoreReaders readers() const;
+  StoreReaders store_readers() const;
 
   /// Sets who is told of messages about usage.
   void on_usage_message(std::function<void(std::string_view)> handler) {
@@ -47,26 +47,26 @@
   }
 
   /// Sets what is told to a node that asks for the configuration; empty: nothing that it lacks.
-  void on_configuration_asked(std::function<std::string(const ConfigurationCall&)> handler) {
-    configurations_.on_asked(std::move(handler));
+  void on_configuration_request(std::function<std::string(const ConfigurationCall&)> handler) {
+    configurations_.on_request(std::move(handler));
   }
 
   /// Asks another node for what is newer than the configuration that the call summarizes.
-  void ask_configuration(const ConfigurationCall& call,
-                         std::function<void(ConfigurationMessage)> handler);
+  void request_configuration(const ConfigurationCall& call,
+                             std::function<void(ConfigurationMessage)> handler);
 
   /// @return the nodes, and the number that was drawn at the start of this process.
   const PeerDirectory& peers() const { return peers_; }
   std::uint64_t boot() const { return boot_; }
 
   /// @return nodes known, this one included.
-  std::size_t nodes() const { return peers_.nodes().size(); }
+  std::size_t node_count() const { return peers_.nodes().size(); }
 
   /// @return the exchange by zones, which is silent in a small fleet.
   const ZoneExchange& zones() const { return zones_; }
 
  private:
-  bool by_zones() const { return peers_.peer_count() > settings_.most_told_directly; }
+  bool uses_zones() const { return peers_.peer_count() > settings_.max_direct_peers; }
   void schedule_flush();
   Duration flush_delay() const;
   std::size_t rank() const;
@@ -74,14 +74,14 @@
   void flush();
   LoadMessage own_message();
   void on_message(std::string_view bytes);
-  void take(LoadMessage message);
-  void pull_caches();
-  bool ask_a_peer(std::string_view call, PeerTransport::AnswerHandler handler);
-  void take_caches(const tl::expected<std::string, std::string>& answer);
-  std::string snapshot() const;
+  void apply(LoadMessage message);
+  void pull_cache_snapshot();
+  bool call_random_peer(std::string_view call, PeerTransport::AnswerHandler handler);
+  void apply_cache_snapshot(const tl::expected<std::string, std::string>& answer);
+  std::string cache_snapshot() const;
   std::string answer(const std::string& call) const;
   void update_fleet();
-  double share_heard() const;
+  double live_fraction() const;
 
   Runtime& runtime_;
   PeerTransport& transport_;
@@ -95,16 +95,16 @@
   ConfigurationExchange configurations_;
   PermitExchange permits_;
   /// The last message of a peer that tells this node directly.
-  struct Heard {
-    MessageNumber number;
-    MonotonicTime at{};
+  struct PeerState {
+    MessageNumber last_message;
+    MonotonicTime received_at{};
   };
-  bool reads_for_others() const;
+  bool is_store_reader() const;
 
-  std::map<NodeId, Heard> heard_;
-  MonotonicTime readers_heard_at_{};  ///< When the store last confirmed the state to a reader.
+  std::map<NodeId, PeerState> peer_states_;
+  MonotonicTime readers_confirmed_at_{};  ///< When the store last confirmed the state to a reader.
   std::unique_ptr<Timer> flush_timer_;
-  std::unique_ptr<Periodic> refresh_;
+  std::unique_ptr<Periodic> refresh_timer_;
   std::unique_ptr<Timer> pull_timer_;
   int pulls_left_ = 0;
   std::function<StoreProgress()> own_progress_;
--- a/src/relay/peer_directory.cpp
+++ b/src/relay/peer_directory.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kRegisterTimeout = std::chrono::milliseconds(1500);
-constexpr Duration kRegisterAgain = std::chrono::seconds(2);
+constexpr Duration kRegisterRetryInterval = std::chrono::seconds(2);
 
 /// A silent store costs nothing here but a late look at new nodes. The wait stays below the history
 /// that the store keeps; a longer one had to list again each time (seen in an incident).
@@ -37,11 +37,11 @@
       store(own_store),
       self(name),
       settings(own_settings),
-      changed(std::move(on_change)) {
+      change_handler(std::move(on_change)) {
   this->records[this->self] = record;
   this->register_self();
   this->start_timer =
-      this->runtime.after(this->settings.first_look, [this] { this->watch_nodes(); });
+      this->runtime.after(this->settings.initial_list_delay, [this] { this->watch_nodes(); });
 }
 
 PeerDirectory::~PeerDirectory() {
@@ -61,46 +61,46 @@
   return all;
 }
 
-std::vector<std::string> PeerDirectory::near_addresses() const {
-  std::vector<std::string> near;
+std::vector<std::string> PeerDirectory::nearby_addresses() const {
+  std::vector<std::string> nearby;
   for (const auto& [name, record] : this->records) {
     const bool own_zone = record.zone == this->own_record().zone;
-    if (name != this->self && own_zone) near.push_back(record.address);
+    if (name != this->self && own_zone) nearby.push_back(record.address);
   }
-  return near.empty() ? this->addresses() : near;
+  return nearby.empty() ? this->addresses() : nearby;
 }
 
 void PeerDirectory::register_self() {
   this->store.create(
       this->settings.kind, this->self.value(), to_json(this->own_record()), kRegisterTimeout,
       [this,
-       living = this->alive](const tl::expected<store::StoredObject, store::StoreError>& made) {
+       living = this->alive](const tl::expected<store::StoredObject, store::StoreError>& created) {
         // A machine keeps its name and address when its process starts again.
-        if (!*living || made || made.error() == store::StoreError::kConflict) return;
+        if (!*living || created || created.error() == store::StoreError::kConflict) return;
         this->register_timer =
-            this->runtime.after(kRegisterAgain, [this] { this->register_self(); });
+            this->runtime.after(kRegisterRetryInterval, [this] { this->register_self(); });
       });
 }
 
 void PeerDirectory::watch_nodes() {
   store::KindWatchHandlers handlers;
   handlers.on_list = [this](const store::ObjectList& list) {
-    for (const store::StoredObject& object : list.objects) this->take(object);
-    this->changed();
+    for (const store::StoredObject& object : list.objects) this->apply_record(object);
+    this->change_handler();
   };
   handlers.on_change = [this](const store::ObjectChange& change) {
     if (!change.gone) {
-      this->take(change.object);
+      this->apply_record(change.object);
     } else if (change.object.name != this->self.value()) {
       this->records.erase(NodeId(change.object.name));
     }
-    this->changed();
+    this->change_handler();
   };
   this->watch = std::make_unique<store::KindWatch>(this->runtime, this->store, this->settings.kind,
                                                    watch_settings(), std::move(handlers));
 }
 
-void PeerDirectory::take(const store::StoredObject& object) {
+void PeerDirectory::apply_record(const store::StoredObject& object) {
   if (!object.content.is_object() || object.name == this->self.value()) return;
   try {
     this->records[NodeId(object.name)] = {object.content.at("address").get<std::string>(),
--- a/src/relay/peer_directory.hpp
+++ b/src/relay/peer_directory.hpp
@@ -46,7 +46,7 @@
 
   /// @return those of the own zone; of all others where the zone has none. Large answers are asked
   /// of them: bytes between zones are dear.
-  std::vector<std::string> near_addresses() const;
+  std::vector<std::string> nearby_addresses() const;
 
   /// @return whether another node of that name is listed.
   bool is_peer(const NodeId& node) const { return node != this->self && this->find(node); }
@@ -54,13 +54,13 @@
  private:
   void register_self();
   void watch_nodes();
-  void take(const store::StoredObject& object);
+  void apply_record(const store::StoredObject& object);
 
   Runtime& runtime;
   store::ObjectStore& store;
   NodeId self;
   PeerDirectorySettings settings;
-  std::function<void()> changed;
+  std::function<void()> change_handler;
   PeerRecords records;
   std::unique_ptr<store::KindWatch> watch;
   std::unique_ptr<Timer> start_timer;
--- a/src/relay/policy_options.cpp
+++ b/src/relay/policy_options.cpp
@@ -32,11 +32,11 @@
       "cost of reading at a decode engine, for each stream there");
   add("in-time-share", into(settings.prefill.in_time_share),
       "of the time to the objective: requests expected later are deferred; 1000: never");
-  add("gather-ms", milliseconds_into(settings.catalog.longest_gather),
+  add("gather-ms", milliseconds_into(settings.catalog.max_batch_delay),
       "longest time for which changes of engines are gathered");
-  add("told-directly", into(settings.exchange.most_told_directly),
+  add("told-directly", into(settings.exchange.max_direct_peers),
       "peers up to which each node tells all others; with more, load is gathered by zones");
-  add("collect-ms", milliseconds_into(settings.exchange.zones.collect_every),
+  add("collect-ms", milliseconds_into(settings.exchange.zones.min_collect_interval),
       "between two sums of a zone's collector");
   add("stages-at-once", into(settings.stages.share_at_once),
       "of a service's engines that change their stage in one batch");
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -43,7 +43,7 @@
 
 CatalogSettings catalog_settings(const RelaySettings& settings) {
   CatalogSettings catalog = settings.catalog;
-  catalog.joins = !settings.first_start;
+  catalog.join_existing = !settings.bootstrap;
   return catalog;
 }
 
@@ -71,7 +71,7 @@
         quarantine_store_(runtime, store_, node_),
         lease_(runtime, store_, node_, settings.node, settings.lease),
         roles_({runtime, http_, platform.dialect}, lease_, node_, settings.roles, settings.stages) {
-    if (duties_ != nullptr && settings.orders_engines) {
+    if (duties_ != nullptr && settings.engine_ordering_enabled) {
       capacity_ = std::make_unique<CapacityCoordinator>(runtime, store_, lease_, *duties_, node_,
                                                         settings.node, settings.capacity);
     }
@@ -124,30 +124,31 @@
     peers_ = make_peer_transport(loop, *endpoint, kMaxCacheSnapshot);
     LoadExchangeSettings exchange = settings_.exchange;
     exchange.zone = settings_.zone;
-    exchange.joins = !settings_.first_start;
+    exchange.join_existing = !settings_.bootstrap;
     exchange_ =
         std::make_unique<LoadExchange>(runtime_, store_, *peers_, node_, settings_.node, exchange);
     exchange_->connect_revisions(
         [this] { return catalog_.progress(); },
         [this](const CatalogRevisions& revisions) { catalog_.hint(revisions); });
-    exchange_->on_configuration_asked(
+    exchange_->on_configuration_request(
         [this](const ConfigurationCall& call) { return catalog_.configuration_for_peer(call); });
-    catalog_.set_asking([this] {
-      exchange_->ask_configuration(
-          catalog_.configuration_call(),
-          [this](ConfigurationMessage message) { catalog_.take_from_peer(std::move(message)); });
+    catalog_.set_peer_fetch([this] {
+      exchange_->request_configuration(catalog_.configuration_call(),
+                                       [this](ConfigurationMessage message) {
+                                         catalog_.apply_peer_configuration(std::move(message));
+                                       });
     });
     readers_tick_ = std::make_unique<Periodic>(
-        runtime_, kReadersTick, [this] { catalog_.set_readers(exchange_->readers()); });
+        runtime_, kReadersTick, [this] { catalog_.set_readers(exchange_->store_readers()); });
   }
 
   void report_usage() {
-    if (duties_ == nullptr || settings_.usage.window == Duration::zero()) return;
+    if (duties_ == nullptr || settings_.usage.window_length == Duration::zero()) return;
     usage_ =
         std::make_unique<UsageExchange>(runtime_, *peers_, exchange_->peers(), exchange_->boot(),
-                                        settings_.first_start, settings_.usage);
+                                        settings_.bootstrap, settings_.usage);
     exchange_->on_usage_message([this](std::string_view bytes) { usage_->on_message(bytes); });
-    node_.on_began([this](const TenantName& tenant) { usage_->on_began(tenant); });
+    node_.on_began([this](const TenantName& tenant) { usage_->on_request_started(tenant); });
     usage_reporter_ =
         std::make_unique<UsageReporter>(runtime_, store_, lease_, *duties_, *usage_,
                                         node_.metrics(), settings_.node, settings_.usage);
@@ -177,7 +178,8 @@
     metrics.set_gauge("configuration_age_seconds", to_seconds(catalog_.configuration_age()));
     metrics.set_gauge("engines_age_seconds", to_seconds(catalog_.engines_age()));
     if (exchange_) show_exchange(metrics);
-    if (usage_) metrics.set_gauge("usage_left_out", static_cast<double>(usage_->left_out()));
+    if (usage_)
+      metrics.set_gauge("usage_left_out", static_cast<double>(usage_->dropped_requests()));
     HttpReply reply;
     reply.status = http_status::kOk;
     reply.headers.add("Content-Type", "text/plain; version=0.0.4");
@@ -187,9 +189,9 @@
 
   void show_exchange(RelayMetrics& metrics) const {
     const ZoneExchange& zones = exchange_->zones();
-    metrics.set_gauge("nodes_known", static_cast<double>(exchange_->nodes()));
-    metrics.set_gauge("fleet_view_nodes", static_cast<double>(zones.nodes_seen()));
-    metrics.set_gauge("fleet_view_age_seconds", to_seconds(runtime_.now() - zones.view_at()));
+    metrics.set_gauge("nodes_known", static_cast<double>(exchange_->node_count()));
+    metrics.set_gauge("fleet_view_nodes", static_cast<double>(zones.view_node_count()));
+    metrics.set_gauge("fleet_view_age_seconds", to_seconds(runtime_.now() - zones.last_view_at()));
     metrics.set_gauge("collecting", zones.collecting() ? 1 : 0);
   }
 
@@ -205,7 +207,7 @@
     if (!idle && elapsed < last) return;
     const auto stopped = std::exchange(stopped_, nullptr);
     if (!stopped) return;
-    if (usage_) usage_->tell_last();
+    if (usage_) usage_->send_final_counts();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopped",
               {{"under_way", node_.under_way()}, {"after_s", to_seconds(elapsed)}});
     // The last answers are still on their way to the kernel.
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -93,7 +93,7 @@
   query.service = service_;
   query.prompt = prompt_ ? &*prompt_ : nullptr;
   query.zone = context_.settings.zone;
-  query.engines_may_keep_more = !context_.settings.first_start;
+  query.engines_may_keep_more = !context_.settings.bootstrap;
   query.avoid = &met_;
   query.max_connections_here = connections_per_engine();
   query.apart_from = apart_from_.empty() ? nullptr : &apart_from_;
--- a/src/relay/role_coordinator.cpp
+++ b/src/relay/role_coordinator.cpp
@@ -18,7 +18,7 @@
                                  const StagePlannerSettings& planner)
     : io_(io), lease_(lease), node_(node), settings_(settings), planner_(planner) {
   lease_.on_tick([this, alive = alive_] {
-    if (*alive && lease_.held_for() >= settings_.settle) plan();
+    if (*alive && lease_.held_for() >= settings_.takeover_delay) plan();
   });
 }
 
--- a/src/relay/usage_exchange.cpp
+++ b/src/relay/usage_exchange.cpp
@@ -20,7 +20,7 @@
   usage::UsageLedgerSettings ledger;
   ledger.windows = clock;
   ledger.kept_windows =
-      static_cast<usage::WindowNumber>(whole_ms(settings.kept) / clock.length_ms) + 2;
+      static_cast<usage::WindowNumber>(whole_ms(settings.retention) / clock.length_ms) + 2;
   return ledger;
 }
 
@@ -28,38 +28,39 @@
 
 UsageExchange::UsageExchange(Runtime& own_runtime, PeerTransport& own_transport,
                              const PeerDirectory& own_peers, std::uint64_t own_boot,
-                             bool system_starts, const UsageSettings& own_settings)
+                             bool own_bootstrap, const UsageSettings& own_settings)
     : runtime(own_runtime),
       transport(own_transport),
       peers(own_peers),
       boot(own_boot),
-      first_start(system_starts),
+      bootstrap(own_bootstrap),
       settings(own_settings),
-      clock{whole_ms(own_settings.window)},
+      clock{whole_ms(own_settings.window_length)},
       started_at(own_runtime.now()),
-      time(own_settings.time, own_runtime.now(), time_of_day(own_runtime)),
-      counter(own_settings.kept),
-      told(ledger_settings(own_settings, this->clock)),
+      true_time(own_settings.true_time, own_runtime.now(), time_of_day(own_runtime)),
+      counter(own_settings.retention),
+      usage_ledger(ledger_settings(own_settings, this->clock)),
       clock_tick(
-          std::make_unique<Periodic>(own_runtime, kClockTick, [this] { this->look_at_clock(); })) {}
+          std::make_unique<Periodic>(own_runtime, kClockTick, [this] { this->check_clock(); })) {}
 
-void UsageExchange::look_at_clock() {
+void UsageExchange::check_clock() {
   this->counter.expire(this->runtime.now());
-  const usage::UnixMs jumped = this->time.look(this->runtime.now(), time_of_day(this->runtime));
-  if (jumped == 0) return;
+  const usage::UnixMs jump_ms =
+      this->true_time.look(this->runtime.now(), time_of_day(this->runtime));
+  if (jump_ms == 0) return;
   log_event(LogArea::kProcess, LogLevel::kWarning, "clock_jumped",
-            {{"by_ms", jumped}, {"corrected_ms", this->time.correction()}});
+            {{"by_ms", jump_ms}, {"corrected_ms", this->true_time.correction()}});
 }
 
 usage::UnixMs UsageExchange::agreed_now() const {
-  return this->time.agreed(this->runtime.now());
+  return this->true_time.agreed(this->runtime.now());
 }
 
 usage::UnixMs UsageExchange::counting_since() const {
-  return this->first_start ? 0 : this->time.agreed(this->started_at);
+  return this->bootstrap ? 0 : this->true_time.agreed(this->started_at);
 }
 
-void UsageExchange::on_began(const TenantName& tenant) {
+void UsageExchange::on_request_started(const TenantName& tenant) {
   this->counter.on_began(this->runtime.now(), tenant);
 }
 
@@ -68,88 +69,89 @@
     const auto call = decode_usage_call(bytes);
     return call ? this->on_call(*call) : log_malformed_message("usage", call.error());
   }
-  const auto more = decode_told_usage(bytes);
-  return more ? this->on_told(*more) : log_malformed_message("usage", more.error());
+  const auto message = decode_told_usage(bytes);
+  return message ? this->on_counts(*message) : log_malformed_message("usage", message.error());
 }
 
-void UsageExchange::call() {
+void UsageExchange::poll_nodes() {
   const MonotonicTime now = this->runtime.now();
   const std::string bytes =
-      encode(UsageCall{this->peers.own_name(), this->boot, this->time.take_median(now)});
+      encode(UsageCall{this->peers.own_name(), this->boot, this->true_time.take_median(now)});
   for (const auto& [name, record] : this->peers.nodes()) {
     if (name != this->peers.own_name()) this->transport.send(record.address, bytes);
   }
-  const bool first = this->reporter != this->peers.own_name();
+  const bool reporter_changed = this->reporter != this->peers.own_name();
   this->reporter = this->peers.own_name();
   this->reporter_boot = this->boot;
-  this->tell(first);
+  this->send_counts(reporter_changed);
 }
 
 void UsageExchange::on_call(const UsageCall& call) {
   if (!this->peers.is_peer(call.reporter)) return;
-  if (call.agreed) this->time.on_agreed(this->runtime.now(), *call.agreed);
-  const bool first = this->reporter != call.reporter || this->reporter_boot != call.boot;
+  if (call.agreed) this->true_time.on_agreed(this->runtime.now(), *call.agreed);
+  const bool reporter_changed = this->reporter != call.reporter || this->reporter_boot != call.boot;
   this->reporter = call.reporter;
   this->reporter_boot = call.boot;
-  this->tell(first);
+  this->send_counts(reporter_changed);
 }
 
-void UsageExchange::on_told(const usage::ToldUsage& more) {
-  if (!this->peers.is_peer(more.node)) return;
+void UsageExchange::on_counts(const usage::ToldUsage& message) {
+  if (!this->peers.is_peer(message.node)) return;
   const MonotonicTime now = this->runtime.now();
-  this->time.on_clock(now, more.node, more.clock);
-  this->told.on_told(now, this->clock.at(this->agreed_now()), more);
+  this->true_time.on_clock(now, message.node, message.clock);
+  this->usage_ledger.on_told(now, this->clock.at(this->agreed_now()), message);
 }
 
-void UsageExchange::tell_last() {
-  if (!this->reporter.empty()) this->tell(false);
+void UsageExchange::send_final_counts() {
+  if (!this->reporter.empty()) this->send_counts(false);
 }
 
 /// The reporter, and the first few nodes in the order in which they stand by.
-std::vector<NodeId> UsageExchange::listeners() const {
+std::vector<NodeId> UsageExchange::recipients() const {
   std::vector<std::pair<std::uint64_t, NodeId>> order;
   for (const auto& [name, record] : this->peers.nodes()) {
     if (name != this->reporter) order.emplace_back(hash64(name.value()), name);
   }
-  const std::size_t backups = std::min(this->settings.backups, order.size());
-  const auto end = order.begin() + static_cast<std::ptrdiff_t>(backups);
+  const std::size_t backup_count = std::min(this->settings.backup_nodes, order.size());
+  const auto end = order.begin() + static_cast<std::ptrdiff_t>(backup_count);
   std::partial_sort(order.begin(), end, order.end());
-  std::vector<NodeId> listeners{this->reporter};
-  for (auto it = order.begin(); it != end; ++it) listeners.push_back(it->second);
-  return listeners;
+  std::vector<NodeId> recipients{this->reporter};
+  for (auto it = order.begin(); it != end; ++it) recipients.push_back(it->second);
+  return recipients;
 }
 
-usage::WindowNumber UsageExchange::oldest_told(bool all) const {
-  const Duration back = all ? this->settings.kept : this->settings.told_after_end;
-  const usage::UnixMs since = std::max(this->agreed_now() - whole_ms(back), this->counting_since());
+usage::WindowNumber UsageExchange::oldest_window_to_send(bool all_windows) const {
+  const Duration period = all_windows ? this->settings.retention : this->settings.resend_period;
+  const usage::UnixMs since =
+      std::max(this->agreed_now() - whole_ms(period), this->counting_since());
   return this->clock.at(since);
 }
 
-void UsageExchange::tell(bool all) {
-  const auto targets = this->listeners();
-  ++this->tellings;
+void UsageExchange::send_counts(bool all_windows) {
+  const auto targets = this->recipients();
+  ++this->send_sequence;
   const usage::WindowNumber newest = this->clock.at(this->agreed_now());
-  for (auto window = this->oldest_told(all); window <= newest; ++window) {
-    this->tell_window(window, targets);
+  for (auto window = this->oldest_window_to_send(all_windows); window <= newest; ++window) {
+    this->send_window(window, targets);
   }
 }
 
-void UsageExchange::tell_window(usage::WindowNumber window, const std::vector<NodeId>& targets) {
+void UsageExchange::send_window(usage::WindowNumber window, const std::vector<NodeId>& targets) {
   const MonotonicTime now = this->runtime.now();
   usage::ToldUsage own;
   own.node = this->peers.own_name();
   own.boot = this->boot;
-  own.sequence = this->tellings;
-  own.clock = this->time.own(now);
-  own.counted_until = this->agreed_now() - whole_ms(this->settings.counted_late);
+  own.sequence = this->send_sequence;
+  own.clock = this->true_time.own(now);
+  own.counted_until = this->agreed_now() - whole_ms(this->settings.counting_lag);
   own.counting_since = this->counting_since();
   own.window = window;
-  own.counts = this->counter.counts(this->clock, window,
-                                    [this](MonotonicTime at) { return this->time.agreed(at); });
+  own.counts = this->counter.counts(
+      this->clock, window, [this](MonotonicTime at) { return this->true_time.agreed(at); });
   const auto messages = encode_parts(own);
   for (const NodeId& target : targets) {
     if (target == this->peers.own_name()) {
-      this->told.on_told(now, this->clock.at(this->agreed_now()), own);
+      this->usage_ledger.on_told(now, this->clock.at(this->agreed_now()), own);
       continue;
     }
     const PeerRecord* record = this->peers.find(target);
--- a/src/relay/usage_exchange.hpp
+++ b/src/relay/usage_exchange.hpp
@@ -27,25 +27,25 @@
   /// @param boot drawn at the start of the process.
   /// @param first_start whether the whole system starts: nothing ran before.
   UsageExchange(Runtime& runtime, PeerTransport& transport, const PeerDirectory& peers,
-                std::uint64_t boot, bool first_start, const UsageSettings& settings);
+                std::uint64_t boot, bool bootstrap, const UsageSettings& settings);
 
   /// A request of the tenant has begun to run at an engine.
-  void on_began(const TenantName& tenant);
+  void on_request_started(const TenantName& tenant);
 
   /// A message of another node about usage.
   void on_message(std::string_view bytes);
 
   /// Asks all nodes for what they have counted: this one reports it.
-  void call();
+  void poll_nodes();
 
   /// Tells the reporter at once: the process is to end.
-  void tell_last();
+  void send_final_counts();
 
-  const usage::UsageLedger& ledger() const { return this->told; }
+  const usage::UsageLedger& ledger() const { return this->usage_ledger; }
 
   /// @return requests that could not be counted, since too many began at once.
-  std::uint64_t left_out() const { return this->counter.left_out(); }
-  const usage::WindowClock& windows() const { return this->clock; }
+  std::uint64_t dropped_requests() const { return this->counter.left_out(); }
+  const usage::WindowClock& window_clock() const { return this->clock; }
 
   /// @return true time as far as this node knows, in milliseconds since the start of 1970.
   usage::UnixMs agreed_now() const;
@@ -54,28 +54,28 @@
   usage::UnixMs counting_since() const;
 
  private:
-  void look_at_clock();
+  void check_clock();
   void on_call(const UsageCall& call);
-  void on_told(const usage::ToldUsage& told);
-  void tell(bool all);
-  void tell_window(usage::WindowNumber window, const std::vector<NodeId>& listeners);
-  std::vector<NodeId> listeners() const;
-  usage::WindowNumber oldest_told(bool all) const;
+  void on_counts(const usage::ToldUsage& message);
+  void send_counts(bool all_windows);
+  void send_window(usage::WindowNumber window, const std::vector<NodeId>& recipients);
+  std::vector<NodeId> recipients() const;
+  usage::WindowNumber oldest_window_to_send(bool all_windows) const;
 
   Runtime& runtime;
   PeerTransport& transport;
   const PeerDirectory& peers;
   std::uint64_t boot;
-  bool first_start;
+  bool bootstrap;
   UsageSettings settings;
   usage::WindowClock clock;
   MonotonicTime started_at;
-  usage::TrueTime time;
+  usage::TrueTime true_time;
   usage::UsageCounter counter;
-  usage::UsageLedger told;
+  usage::UsageLedger usage_ledger;
   NodeId reporter;  ///< Whom this node tells; empty while nobody has asked.
   std::uint64_t reporter_boot = 0;
-  std::uint64_t tellings = 0;
+  std::uint64_t send_sequence = 0;
   std::unique_ptr<Periodic> clock_tick;
 };
 
--- a/src/relay/usage_reporter.cpp
+++ b/src/relay/usage_reporter.cpp
@@ -49,8 +49,8 @@
   *this->alive = false;
 }
 
-usage::UnixMs UsageReporter::since_end(usage::WindowNumber number) const {
-  return this->exchange.agreed_now() - this->exchange.windows().end(number);
+usage::UnixMs UsageReporter::ms_since_end(usage::WindowNumber number) const {
+  return this->exchange.agreed_now() - this->exchange.window_clock().end(number);
 }
 
 std::string UsageReporter::slot_name(usage::WindowNumber number) const {
@@ -59,41 +59,41 @@
 
 void UsageReporter::tick() {
   const MonotonicTime now = this->runtime.now();
-  if (!this->called_at || now - *this->called_at >= this->settings.call_every) {
-    this->called_at = now;
-    this->exchange.call();
+  if (!this->last_poll_at || now - *this->last_poll_at >= this->settings.poll_interval) {
+    this->last_poll_at = now;
+    this->exchange.poll_nodes();
   }
-  if (this->lease.held_for() < this->settings.settle) {
+  if (this->lease.held_for() < this->settings.takeover_delay) {
     // What was known of the store is from an earlier time as the holder.
     this->slots.clear();
     this->windows.clear();
     return;
   }
-  this->take_up_windows();
+  this->update_windows();
   // Steps end windows, which changes the map only at the next call.
   for (auto& [number, window] : this->windows) {
-    if (!window.busy) this->advance(number, window);
+    if (!window.call_pending) this->advance(number, window);
   }
 }
 
-void UsageReporter::take_up_windows() {
-  const usage::WindowClock& clock = this->exchange.windows();
+void UsageReporter::update_windows() {
+  const usage::WindowClock& clock = this->exchange.window_clock();
   const usage::UnixMs now = this->exchange.agreed_now();
   const usage::WindowNumber current = clock.at(now);
-  const usage::WindowNumber oldest = clock.at(now - whole_ms(this->settings.kept)) + 1;
+  const usage::WindowNumber oldest = clock.at(now - whole_ms(this->settings.retention)) + 1;
   this->windows.erase(this->windows.begin(), this->windows.lower_bound(oldest));
   for (auto number = oldest; number < current; ++number) this->windows.try_emplace(number);
 }
 
 void UsageReporter::advance(usage::WindowNumber number, Window& window) {
-  switch (window.step) {
-    case Step::kCounting:
+  switch (window.state) {
+    case WindowState::kCounting:
       return this->close(number, window);
-    case Step::kRecording:
+    case WindowState::kRecording:
       return this->record(number, window);
-    case Step::kSending:
+    case WindowState::kSending:
       return this->send(number, window);
-    case Step::kEnded:
+    case WindowState::kEnded:
       return;
   }
 }
@@ -102,11 +102,11 @@
 void UsageReporter::close(usage::WindowNumber number, Window& window) {
   const MonotonicTime now = this->runtime.now();
   const usage::UsageLedger& ledger = this->exchange.ledger();
-  const double patience = to_ms(this->settings.late) * this->settings.patience_share;
+  const double wait_limit_ms = to_ms(this->settings.report_deadline) * this->settings.wait_fraction;
   const bool complete = ledger.complete(now, number);
-  if (!complete && static_cast<double>(this->since_end(number)) < patience) return;
+  if (!complete && static_cast<double>(this->ms_since_end(number)) < wait_limit_ms) return;
   window.report = {number, ledger.sum(number)};
-  window.step = Step::kRecording;
+  window.state = WindowState::kRecording;
   log_event(LogArea::kControl, LogLevel::kInfo, "usage_closed",
             {{"window", number},
              {"complete", complete},
@@ -114,21 +114,21 @@
              {"nodes", ledger.nodes(now)},
              {"tenants", window.report.counts.size()},
              {"requests", usage::total(window.report.counts)},
-             {"since_end_ms", this->since_end(number)}});
+             {"since_end_ms", this->ms_since_end(number)}});
   this->record(number, window);
 }
 
 void UsageReporter::record(usage::WindowNumber number, Window& window) {
-  window.busy = true;
+  window.call_pending = true;
   const auto slot = this->slots.find(this->slot_name(number));
   if (slot == this->slots.end()) return this->read_slot(number);
   if (slot->second.window == number) {
     window.report.counts = slot->second.counts;
-    window.step = Step::kSending;
+    window.state = WindowState::kSending;
     return this->send(number, window);
   }
-  if (slot->second.window > number) return this->end(number, "overtaken");
-  if (!this->exchange.ledger().covered(number)) return this->end(number, "not_covered");
+  if (slot->second.window > number) return this->finish(number, "overtaken");
+  if (!this->exchange.ledger().covered(number)) return this->finish(number, "not_covered");
   this->write_slot(number, window);
 }
 
@@ -140,7 +140,7 @@
                      if (!*living) return;
                      if (read) return this->on_slot(number, *read);
                      if (read.error() == store::StoreError::kMissing) this->slots[name] = Slot();
-                     this->set_idle(number);
+                     this->clear_pending(number);
                    });
 }
 
@@ -155,7 +155,7 @@
               {{"name", object.name}, {"why", std::string(error.what())}});
   }
   this->slots[this->slot_name(number)] = std::move(slot);
-  this->set_idle(number);
+  this->clear_pending(number);
 }
 
 /// Only one report of a window is ever written: under the revision of what was there before.
@@ -164,12 +164,12 @@
   const std::uint64_t revision = this->slots[name].revision;
   const json content = to_json(window.report);
   auto written = [this, living = this->alive, number,
-                  name](const tl::expected<store::StoredObject, store::StoreError>& done) {
+                  name](const tl::expected<store::StoredObject, store::StoreError>& result) {
     if (!*living) return;
-    if (done) return this->on_slot(number, *done);
+    if (result) return this->on_slot(number, *result);
     // It may have been written, by this node or another: the slot is read again.
-    if (done.error() != store::StoreError::kNotDone) this->slots.erase(name);
-    this->set_idle(number);
+    if (result.error() != store::StoreError::kNotDone) this->slots.erase(name);
+    this->clear_pending(number);
   };
   if (revision == 0) {
     this->store.create(this->settings.record_kind, name, content, this->settings.call_timeout,
@@ -180,14 +180,14 @@
   }
 }
 
-void UsageReporter::set_idle(usage::WindowNumber number) {
+void UsageReporter::clear_pending(usage::WindowNumber number) {
   const auto window = this->windows.find(number);
-  if (window != this->windows.end()) window->second.busy = false;
+  if (window != this->windows.end()) window->second.call_pending = false;
 }
 
 void UsageReporter::send(usage::WindowNumber number, Window& window) {
   const auto fence = this->lease.authority();
-  window.busy = fence.has_value();
+  window.call_pending = fence.has_value();
   if (!fence) return;
   this->service.report_usage({this->machine, *fence}, window.report, this->settings.call_timeout,
                              [this, living = this->alive, number](DutyOutcome outcome) {
@@ -196,22 +196,22 @@
 }
 
 void UsageReporter::on_sent(usage::WindowNumber number, DutyOutcome outcome) {
-  this->set_idle(number);
+  this->clear_pending(number);
   this->metrics.count_duty_call("usage", to_text(outcome));
   log_event(LogArea::kControl, LogLevel::kInfo, "usage_sent",
             {{"window", number},
              {"outcome", to_text(outcome)},
-             {"since_end_ms", this->since_end(number)}});
+             {"since_end_ms", this->ms_since_end(number)}});
   // A newer holder has reported: its fence was seen.
   if (outcome == DutyOutcome::kRefused) return this->lease.resign();
-  if (outcome == DutyOutcome::kDone) this->end(number, "reported");
+  if (outcome == DutyOutcome::kDone) this->finish(number, "reported");
 }
 
-void UsageReporter::end(usage::WindowNumber number, const char* result) {
+void UsageReporter::finish(usage::WindowNumber number, const char* result) {
   const auto window = this->windows.find(number);
   if (window == this->windows.end()) return;
-  window->second.step = Step::kEnded;
-  window->second.busy = false;
+  window->second.state = WindowState::kEnded;
+  window->second.call_pending = false;
   this->metrics.count_usage_window(result);
   log_event(LogArea::kControl, LogLevel::kInfo, "usage_window_ended",
             {{"window", number},
--- a/src/relay/usage_reporter.hpp
+++ b/src/relay/usage_reporter.hpp
@@ -32,10 +32,10 @@
 
  private:
   /// How far a window has come.
-  enum class Step { kCounting, kRecording, kSending, kEnded };
+  enum class WindowState { kCounting, kRecording, kSending, kEnded };
   struct Window {
-    Step step = Step::kCounting;
-    bool busy = false;  ///< A call is under way.
+    WindowState state = WindowState::kCounting;
+    bool call_pending = false;  ///< A call is under way.
     UsageReport report;
   };
   /// What a slot of the store holds.
@@ -46,7 +46,7 @@
   };
 
   void tick();
-  void take_up_windows();
+  void update_windows();
   void advance(usage::WindowNumber number, Window& window);
   void close(usage::WindowNumber number, Window& window);
   void record(usage::WindowNumber number, Window& window);
@@ -55,9 +55,9 @@
   void on_slot(usage::WindowNumber number, const store::StoredObject& object);
   void send(usage::WindowNumber number, Window& window);
   void on_sent(usage::WindowNumber number, DutyOutcome outcome);
-  void end(usage::WindowNumber number, const char* result);
-  void set_idle(usage::WindowNumber number);
-  usage::UnixMs since_end(usage::WindowNumber number) const;
+  void finish(usage::WindowNumber number, const char* result);
+  void clear_pending(usage::WindowNumber number);
+  usage::UnixMs ms_since_end(usage::WindowNumber number) const;
   std::string slot_name(usage::WindowNumber number) const;
 
   Runtime& runtime;
@@ -70,7 +70,7 @@
   UsageSettings settings;
   std::map<usage::WindowNumber, Window> windows;
   std::map<std::string, Slot> slots;
-  std::optional<MonotonicTime> called_at;
+  std::optional<MonotonicTime> last_poll_at;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -11,7 +11,7 @@
 
 /// Own messages that are remembered, to be taken out of the sums that hold them. A sum is a few
 /// hundred milliseconds old at most, and a message is sent every 15 ms at most.
-constexpr std::size_t kMostTold = 128;
+constexpr std::size_t kMaxSentLoads = 128;
 
 LoadByKey by_key(const std::map<EngineId, PeerLoad>& load) {
   LoadByKey keyed;
@@ -28,8 +28,8 @@
     news.troubles.push_back({engine_key(trouble.engine), trouble.stage, trouble.kind});
   }
   news.crashes = message.crashes;
-  for (const ToldLimitNews& told : message.limits) {
-    news.limits.push_back({engine_key(told.engine), told.limit});
+  for (const ToldLimitNews& update : message.limits) {
+    news.limits.push_back({engine_key(update.engine), update.limit});
   }
   return news;
 }
@@ -52,20 +52,20 @@
 
 void ZoneExchange::start() {
   this->choice.set_order(collector_order(this->peers.nodes(), this->zone));
-  this->order_other_zones();
+  this->update_zone_rankings();
   if (std::exchange(this->running, true)) return;
   this->schedule();
-  this->watch_source();
+  this->check_source();
 }
 
-void ZoneExchange::order_other_zones() {
+void ZoneExchange::update_zone_rankings() {
   for (const auto& [name, record] : this->peers.nodes()) {
     if (record.zone != this->zone) {
       this->other_zones.try_emplace(record.zone, this->settings.choice);
     }
   }
-  for (auto& [name, there] : this->other_zones) {
-    there.set_order(collector_order(this->peers.nodes(), name));
+  for (auto& [name, zone_choice] : this->other_zones) {
+    zone_choice.set_order(collector_order(this->peers.nodes(), name));
   }
 }
 
@@ -79,13 +79,13 @@
 /// A collector sums up as often as its machine bears the messages; the others only look whether
 /// theirs is silent.
 Duration ZoneExchange::interval() const {
-  if (this->collector.idle()) return this->settings.longest_collect;
+  if (this->collector.idle()) return this->settings.max_collect_interval;
   const double capacity = this->peers.own_record().capacity;
   // A machine may tell no capacity.
-  const double a_second = std::max(1.0, this->settings.messages_a_core * capacity);
-  const double seconds = static_cast<double>(this->view_messages) / a_second;
-  return std::clamp(from_seconds(seconds), this->settings.collect_every,
-                    this->settings.longest_collect);
+  const double messages_per_second = std::max(1.0, this->settings.messages_per_core * capacity);
+  const double seconds = static_cast<double>(this->view_messages) / messages_per_second;
+  return std::clamp(from_seconds(seconds), this->settings.min_collect_interval,
+                    this->settings.max_collect_interval);
 }
 
 void ZoneExchange::stop() {
@@ -100,28 +100,28 @@
   if (record != nullptr) this->transport.send(record->address, bytes);
 }
 
-void ZoneExchange::tell(LoadMessage message) {
-  this->told.push_back({message.sequence, by_key(message.load)});
-  if (this->told.size() > kMostTold) this->told.pop_front();
+void ZoneExchange::send_load(LoadMessage message) {
+  this->sent_loads.push_back({message.sequence, by_key(message.load)});
+  if (this->sent_loads.size() > kMaxSentLoads) this->sent_loads.pop_front();
   message.to_collector = true;
   for (const NodeId& name : this->choice.told(this->runtime.now())) {
     message.wants_view = this->choice.source() == name;
     if (name == this->self) {
-      this->on_report(message);
+      this->on_member_load(message);
     } else {
       this->send(name, encode(message));
     }
   }
 }
 
-void ZoneExchange::on_report(const LoadMessage& message) {
+void ZoneExchange::on_member_load(const LoadMessage& message) {
   if (!this->peers.find(message.node)) return;
   if (this->collector.idle()) this->begin_collecting();
   MemberLoad member{{message.boot, message.sequence}, by_key(message.load), message.wants_view};
   if (!this->collector.on_member(this->runtime.now(), message.node, std::move(member))) return;
   this->append_news(this->zone_news, news_of(message));
-  this->note_seen(message.seen);
-  if (message.store_age_ms) this->note_reader(*message.store_age_ms);
+  this->update_revisions(message.seen);
+  if (message.store_age_ms) this->update_store_confirmation(*message.store_age_ms);
 }
 
 void ZoneExchange::on_digest(std::string_view bytes) {
@@ -130,13 +130,14 @@
   if (!digest) return log_malformed_message("digest", digest.error());
   if (!this->peers.is_peer(digest->collector) || digest->zone == this->zone) return;
   const MonotonicTime now = this->runtime.now();
-  const bool taken = this->collector.on_zone(now, {digest->zone, digest->collector, digest->number,
-                                                   digest->nodes, std::move(digest->part)});
-  if (taken) this->append_news(this->other_news, digest->news);
-  const auto there = this->other_zones.find(digest->zone);
-  if (there != this->other_zones.end()) there->second.on_view(now, digest->collector);
-  this->note_seen(digest->seen);
-  this->note_reader(digest->store_age_ms);
+  const bool accepted = this->collector.on_zone(
+      now,
+      {digest->zone, digest->collector, digest->number, digest->nodes, std::move(digest->part)});
+  if (accepted) this->append_news(this->other_news, digest->news);
+  const auto zone_choice = this->other_zones.find(digest->zone);
+  if (zone_choice != this->other_zones.end()) zone_choice->second.on_view(now, digest->collector);
+  this->update_revisions(digest->seen);
+  this->update_store_confirmation(digest->store_age_ms);
 }
 
 void ZoneExchange::on_view(std::string_view bytes) {
@@ -144,27 +145,27 @@
   if (!view) return log_malformed_message("view", view.error());
   const LoadDigest& digest = view->digest;
   if (!this->peers.is_peer(digest.collector)) return;
-  MessageNumber& last = this->views[digest.collector];
+  MessageNumber& last = this->last_view_numbers[digest.collector];
   const bool another_part = digest.number == last;
   if (!another_part && !digest.number.follows(last)) return;
   last = digest.number;
   const MonotonicTime now = this->runtime.now();
   this->choice.on_view(now, digest.collector);
   if (this->choice.source() != digest.collector) return;
-  if (!another_part) this->note_view(now);
-  this->take_sum(now, digest, view->counted);
-  this->note_seen(digest.seen);
-  this->note_reader(digest.store_age_ms);
+  if (!another_part) this->record_view(now);
+  this->apply_sum(now, digest, view->counted);
+  this->update_revisions(digest.seen);
+  this->update_store_confirmation(digest.store_age_ms);
 }
 
-void ZoneExchange::take_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted) {
+void ZoneExchange::apply_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted) {
   this->view_nodes = sum.nodes;
-  this->node.engines().on_fleet_load(now, sum.part, this->told_with(counted));
-  this->take_news(sum.news);
+  this->node.engines().on_fleet_load(now, sum.part, this->load_sent_with(counted));
+  this->apply_news(sum.news);
 }
 
 void ZoneExchange::append_news(EngineNews& news, const EngineNews& more) {
-  if (news.reads.size() + more.reads.size() > this->settings.most_reads) {
+  if (news.reads.size() + more.reads.size() > this->settings.max_prompt_reads) {
     log_event(LogArea::kControl, LogLevel::kWarning, "news_left_out",
               {{"reads", more.reads.size()}, {"waiting", news.reads.size()}});
     return;
@@ -174,21 +175,22 @@
 
 /// A change waits for the sum of its own zone and then for that of the reader's: what is seen is up
 /// to two sums old before the next one comes.
-void ZoneExchange::note_view(MonotonicTime now) {
-  const Duration since = std::min(now - this->viewed_at, this->settings.longest_collect);
-  this->viewed_at = now;
-  this->node.engines().set_shared_view_age(2 * since);
+void ZoneExchange::record_view(MonotonicTime now) {
+  const Duration elapsed =
+      std::min(now - this->view_received_at, this->settings.max_collect_interval);
+  this->view_received_at = now;
+  this->node.engines().set_shared_view_age(2 * elapsed);
 }
 
-const LoadByKey& ZoneExchange::told_with(std::uint64_t sequence) const {
-  static const LoadByKey nothing;
+const LoadByKey& ZoneExchange::load_sent_with(std::uint64_t sequence) const {
+  static const LoadByKey empty;
   const auto found =
-      std::find_if(this->told.rbegin(), this->told.rend(),
-                   [sequence](const Told& entry) { return entry.sequence == sequence; });
-  return found == this->told.rend() ? nothing : found->load;
+      std::find_if(this->sent_loads.rbegin(), this->sent_loads.rend(),
+                   [sequence](const SentLoad& entry) { return entry.sequence == sequence; });
+  return found == this->sent_loads.rend() ? empty : found->load;
 }
 
-void ZoneExchange::take_news(const EngineNews& news) {
+void ZoneExchange::apply_news(const EngineNews& news) {
   this->node.quarantine().learn(news.crashes);
   EngineDirectory& engines = this->node.engines();
   for (const KeyedRead& read : news.reads) {
@@ -206,21 +208,22 @@
   }
 }
 
-void ZoneExchange::note_seen(const CatalogRevisions& revisions) {
-  this->seen.configuration = std::max(this->seen.configuration, revisions.configuration);
-  this->seen.engines = std::max(this->seen.engines, revisions.engines);
-  if (this->on_seen) this->on_seen(revisions);
+void ZoneExchange::update_revisions(const CatalogRevisions& revisions) {
+  this->seen_revisions.configuration =
+      std::max(this->seen_revisions.configuration, revisions.configuration);
+  this->seen_revisions.engines = std::max(this->seen_revisions.engines, revisions.engines);
+  if (this->revision_handler) this->revision_handler(revisions);
 }
 
-void ZoneExchange::note_reader(std::uint32_t store_age_ms) {
-  this->store_heard_at =
-      std::max(this->store_heard_at, from_age_ms(this->runtime.now(), store_age_ms));
+void ZoneExchange::update_store_confirmation(std::uint32_t store_age_ms) {
+  this->store_confirmed_at =
+      std::max(this->store_confirmed_at, from_age_ms(this->runtime.now(), store_age_ms));
 }
 
-bool ZoneExchange::collects_by_rank() const {
+bool ZoneExchange::is_designated_collector() const {
   if (!this->collecting()) return false;
-  const auto ranked = this->choice.told(this->runtime.now());
-  return std::find(ranked.begin(), ranked.end(), this->self) != ranked.end();
+  const auto designated = this->choice.told(this->runtime.now());
+  return std::find(designated.begin(), designated.end(), this->self) != designated.end();
 }
 
 const PeerRecord* ZoneExchange::source() const {
@@ -230,33 +233,33 @@
 }
 
 void ZoneExchange::tick() {
-  this->watch_source();
+  this->check_source();
   this->collector.expire(this->runtime.now());
   if (!this->collector.idle()) this->collect();
 }
 
-void ZoneExchange::watch_source() {
-  const auto before = this->choice.source();
-  const auto given_up = this->choice.poll(this->runtime.now());
-  if (this->choice.source() == before) {
-    if (this->choice.waits(this->runtime.now())) this->ask();
+void ZoneExchange::check_source() {
+  const auto previous = this->choice.source();
+  const auto silent = this->choice.poll(this->runtime.now());
+  if (this->choice.source() == previous) {
+    if (this->choice.waits(this->runtime.now())) this->request_view();
     return;
   }
   log_event(LogArea::kControl, LogLevel::kInfo, "collector_chosen",
             {{"collector", this->choice.source() ? this->choice.source()->value() : ""},
-             {"silent", given_up ? given_up->value() : ""}});
-  this->ask();
+             {"silent", silent ? silent->value() : ""}});
+  this->request_view();
 }
 
-void ZoneExchange::ask() {
-  if (this->on_ask) this->on_ask();
+void ZoneExchange::request_view() {
+  if (this->view_request_handler) this->view_request_handler();
 }
 
 /// The choice for the other zones begins anew: silence from before means nothing.
 void ZoneExchange::begin_collecting() {
   log_event(LogArea::kControl, LogLevel::kInfo, "collecting", {{"zone", this->zone.value()}});
   this->other_zones.clear();
-  this->order_other_zones();
+  this->update_zone_rankings();
 }
 
 void ZoneExchange::collect() {
@@ -280,7 +283,7 @@
   fleet_sum.part.load = this->collector.fleet_load(now);
   fleet_sum.news = std::move(news);
   this->send_to_members(subscribers, fleet_sum);
-  if (own_source) this->take_own_sum(now, fleet_sum);
+  if (own_source) this->apply_own_sum(now, fleet_sum);
 }
 
 LoadDigest ZoneExchange::digest(const ZoneName& of_zone) const {
@@ -288,20 +291,20 @@
   digest.collector = this->self;
   digest.number = {this->boot, this->sums_sent};
   digest.zone = of_zone;
-  digest.seen = this->seen;
-  digest.store_age_ms = to_age_ms(this->runtime.now(), this->store_heard_at);
+  digest.seen = this->seen_revisions;
+  digest.store_age_ms = to_age_ms(this->runtime.now(), this->store_confirmed_at);
   return digest;
 }
 
 /// Two collectors of each other zone, and those that are heard from there.
-void ZoneExchange::send_to_zones(MonotonicTime now, const LoadDigest& whole) {
+void ZoneExchange::send_to_zones(MonotonicTime now, const LoadDigest& sum) {
   if (this->other_zones.empty()) return;
-  const auto parts = encode_parts(whole);
-  for (auto& [name, there] : this->other_zones) {
-    there.poll(now);
-    const std::vector<NodeId> likely = there.told(now);
-    std::set<NodeId> targets(likely.begin(), likely.end());
-    for (NodeId& heard : this->collector.heard_of(now, name)) targets.insert(std::move(heard));
+  const auto parts = encode_parts(sum);
+  for (auto& [name, zone_choice] : this->other_zones) {
+    zone_choice.poll(now);
+    const std::vector<NodeId> selected = zone_choice.told(now);
+    std::set<NodeId> targets(selected.begin(), selected.end());
+    for (NodeId& recent : this->collector.heard_of(now, name)) targets.insert(std::move(recent));
     for (const NodeId& target : targets) {
       for (const std::string& part : parts) this->send(target, part);
     }
@@ -309,8 +312,8 @@
 }
 
 void ZoneExchange::send_to_members(const std::vector<Subscriber>& subscribers,
-                                   const LoadDigest& whole) {
-  const auto parts = encode_parts(whole);
+                                   const LoadDigest& sum) {
+  const auto parts = encode_parts(sum);
   this->view_messages = parts.size() * subscribers.size();
   for (const Subscriber& subscriber : subscribers) {
     if (subscriber.node == this->self) continue;
@@ -321,10 +324,10 @@
 }
 
 /// A collector that listens to itself needs no messages.
-void ZoneExchange::take_own_sum(MonotonicTime now, const LoadDigest& whole) {
+void ZoneExchange::apply_own_sum(MonotonicTime now, const LoadDigest& sum) {
   this->choice.on_view(now, this->self);
-  this->note_view(now);
-  this->take_sum(now, whole, this->told.empty() ? 0 : this->told.back().sequence);
+  this->record_view(now);
+  this->apply_sum(now, sum, this->sent_loads.empty() ? 0 : this->sent_loads.back().sequence);
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/zone_exchange.hpp
+++ b/src/relay/zone_exchange.hpp
@@ -37,10 +37,10 @@
   void stop();
 
   /// Tells the collectors all that this node has under way.
-  void tell(LoadMessage message);
+  void send_load(LoadMessage message);
 
   /// A node of the zone has told this one.
-  void on_report(const LoadMessage& message);
+  void on_member_load(const LoadMessage& message);
 
   /// A digest or a view has come.
   void on_digest(std::string_view bytes);
@@ -49,57 +49,57 @@
   /// Sets who is told what, while sums come: of changes of the store that others have seen, and
   /// that this node's load is to be told at once, since a collector is asked for the view.
   void connect(std::function<void(const CatalogRevisions&)> on_revisions,
-               std::function<void()> ask_now) {
-    this->on_seen = std::move(on_revisions);
-    this->on_ask = std::move(ask_now);
+               std::function<void()> on_view_request) {
+    this->revision_handler = std::move(on_revisions);
+    this->view_request_handler = std::move(on_view_request);
   }
 
   /// @return whether this node collects for others.
   bool collecting() const { return this->running && !this->collector.idle(); }
 
   /// @return whether this node collects for others and is one of those that should.
-  bool collects_by_rank() const;
+  bool is_designated_collector() const;
 
   /// @return the collector that this node listens to, if it is another node.
   const PeerRecord* source() const;
 
   /// @return when the store last confirmed its state to a node that reads it for others, as far as
   /// this node has heard; the epoch of the clock if never.
-  MonotonicTime readers_heard_at() const { return this->store_heard_at; }
+  MonotonicTime readers_confirmed_at() const { return this->store_confirmed_at; }
 
   /// @return nodes whose load is in the last view.
-  std::size_t nodes_seen() const { return this->view_nodes; }
+  std::size_t view_node_count() const { return this->view_nodes; }
 
   /// @return when the last view came, or the epoch of the clock.
-  MonotonicTime view_at() const { return this->viewed_at; }
+  MonotonicTime last_view_at() const { return this->view_received_at; }
 
  private:
-  void order_other_zones();
+  void update_zone_rankings();
   void schedule();
   Duration interval() const;
   void tick();
-  void watch_source();
-  void ask();
+  void check_source();
+  void request_view();
   void begin_collecting();
   void collect();
   LoadDigest digest(const ZoneName& zone) const;
-  void send_to_zones(MonotonicTime now, const LoadDigest& whole);
-  void send_to_members(const std::vector<Subscriber>& subscribers, const LoadDigest& whole);
-  void take_own_sum(MonotonicTime now, const LoadDigest& whole);
-  void take_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted);
+  void send_to_zones(MonotonicTime now, const LoadDigest& sum);
+  void send_to_members(const std::vector<Subscriber>& subscribers, const LoadDigest& sum);
+  void apply_own_sum(MonotonicTime now, const LoadDigest& sum);
+  void apply_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted);
   void append_news(EngineNews& news, const EngineNews& more);
-  void take_news(const EngineNews& news);
-  void note_view(MonotonicTime now);
-  void note_seen(const CatalogRevisions& revisions);
-  void note_reader(std::uint32_t store_age_ms);
+  void apply_news(const EngineNews& news);
+  void record_view(MonotonicTime now);
+  void update_revisions(const CatalogRevisions& revisions);
+  void update_store_confirmation(std::uint32_t store_age_ms);
   void send(const NodeId& node, std::string_view bytes);
 
   /// What this node told with one message.
-  struct Told {
+  struct SentLoad {
     std::uint64_t sequence = 0;
     LoadByKey load;
   };
-  const LoadByKey& told_with(std::uint64_t sequence) const;
+  const LoadByKey& load_sent_with(std::uint64_t sequence) const;
 
   Runtime& runtime;
   PeerTransport& transport;
@@ -109,8 +109,8 @@
   ZoneName zone;
   std::uint64_t boot;
   ZoneExchangeSettings settings;
-  std::function<void(const CatalogRevisions&)> on_seen;
-  std::function<void()> on_ask;
+  std::function<void(const CatalogRevisions&)> revision_handler;
+  std::function<void()> view_request_handler;
 
   CollectorChoice choice;
   std::map<ZoneName, CollectorChoice> other_zones;  ///< Whom this node tells there as collector.
@@ -118,15 +118,16 @@
   std::unique_ptr<Timer> timer;
   bool running = false;
   std::size_t view_messages = 0;  ///< That the last sum took to be sent to all members.
-  std::deque<Told> told;
+  std::deque<SentLoad> sent_loads;
   std::uint64_t sums_sent = 0;
   EngineNews zone_news;   ///< Of this zone's nodes, since the last sum.
   EngineNews other_news;  ///< Of the other zones, since the last sum.
-  CatalogRevisions seen;
-  MonotonicTime store_heard_at{};  ///< The last confirmation by the store that a reader told of.
-  std::map<NodeId, MessageNumber> views;  ///< The last one of each collector.
+  CatalogRevisions seen_revisions;
+  MonotonicTime
+      store_confirmed_at{};  ///< The last confirmation by the store that a reader told of.
+  std::map<NodeId, MessageNumber> last_view_numbers;  ///< The last one of each collector.
   std::size_t view_nodes = 0;
-  MonotonicTime viewed_at{};
+  MonotonicTime view_received_at{};
 };
 
 }  // namespace shuntbank::relay
--- a/tests/platform/settings_test.cpp
+++ b/tests/platform/settings_test.cpp
@@ -25,7 +25,7 @@
   const auto settings = parse_settings(std::string(kWhole) + "bounds.drain_ms=3000\n");
   cr_assert(settings.has_value());
   const auto relay = relay_settings(*settings);
-  cr_assert(relay.catalog.longest_gather == std::chrono::milliseconds(1000));
+  cr_assert(relay.catalog.max_batch_delay == std::chrono::milliseconds(1000));
 }
 
 Test(platform_settings, takes_the_policy_of_the_command_line_over) {
--- a/tests/relay/catalog_slow_link_test.cpp
+++ b/tests/relay/catalog_slow_link_test.cpp
@@ -23,43 +23,43 @@
 constexpr std::size_t kLinkBytesPerSecond = 1'250'000;
 
 /// A node with a slow link among others that read the store at once and tell it of each change.
-struct Storm {
-  explicit Storm(std::size_t configuration_bytes = 500'000) {
+struct SlowLinkFixture {
+  explicit SlowLinkFixture(std::size_t configuration_bytes = 500'000) {
     store.object_bytes = configuration_bytes;
     store.link = &link;
-    change();
+    publish();
     catalog = std::make_unique<relay::Catalog>(runtime, store, codec, *site.node, settings);
-    pass(3s);
+    advance(3s);
   }
 
   /// The operator writes a new version.
-  void change() { store.put("routes", "main", {{"version", ++newest}}); }
+  void publish() { store.put("routes", "main", {{"version", ++newest_version}}); }
 
   /// Lets time pass; the others tell how far they are ten times a second.
-  void pass(Duration duration) {
+  void advance(Duration duration) {
     const MonotonicTime until = runtime.now() + duration;
     while (runtime.now() < until) {
-      if (others_tell) catalog->hint({store.revision(), 0});
-      catalog->set_readers({!others_tell, runtime.now()});
+      if (peers_send_hints) catalog->hint({store.revision(), 0});
+      catalog->set_readers({!peers_send_hints, runtime.now()});
       runtime.advance(100ms);
     }
   }
 
   /// New versions, one each `gap`.
-  void changes(int count, Duration gap) {
+  void publish_every(int count, Duration gap) {
     for (int i = 0; i < count; ++i) {
-      change();
-      pass(gap);
+      publish();
+      advance(gap);
     }
   }
 
   /// New versions that the store's answers to this node do not tell of.
-  void miss(int count) {
-    others_tell = false;
+  void publish_missed(int count) {
+    peers_send_hints = false;
     store.deaf = true;
-    for (int i = 0; i < count; ++i) change();
+    for (int i = 0; i < count; ++i) publish();
     store.deaf = false;
-    others_tell = true;
+    peers_send_hints = true;
   }
 
   std::uint64_t version() const { return site.node->table()->version(); }
@@ -71,105 +71,105 @@
   RelayFixture site;
   relay::CatalogSettings settings;
   std::unique_ptr<relay::Catalog> catalog;
-  std::uint64_t newest = 0;
-  bool others_tell = true;
+  std::uint64_t newest_version = 0;
+  bool peers_send_hints = true;
 };
 
 }  // namespace
 
-Test(catalog_slow_link, takes_an_answer_that_is_longer_on_its_way_than_a_hint_waits) {
-  Storm storm(1'200'000);
-  storm.miss(1);
-  storm.pass(3s);
-  cr_assert_eq(storm.version(), storm.newest);
+Test(catalog_slow_link, accepts_an_answer_slower_than_the_hint_timeout) {
+  SlowLinkFixture site(1'200'000);
+  site.publish_missed(1);
+  site.advance(3s);
+  cr_assert_eq(site.version(), site.newest_version);
 }
 
-Test(catalog_slow_link, has_the_newest_in_force_soon_after_it_missed_some) {
-  Storm storm;
-  storm.miss(6);
-  storm.changes(6, 1s);
-  storm.pass(2s);
-  cr_assert_eq(storm.version(), storm.newest);
+Test(catalog_slow_link, catches_up_after_missed_versions) {
+  SlowLinkFixture site;
+  site.publish_missed(6);
+  site.publish_every(6, 1s);
+  site.advance(2s);
+  cr_assert_eq(site.version(), site.newest_version);
 }
 
-Test(catalog_slow_link, asks_the_store_for_nothing_that_another_node_has_given) {
-  Storm storm;
-  storm.miss(4);
-  storm.catalog->take_from_peer(
-      {storm.store.revision(), RelayFixture::configuration(storm.newest)});
-  const std::size_t before = storm.link.total();
-  storm.pass(5s);
-  cr_assert_eq(storm.version(), storm.newest);
-  cr_assert_eq(storm.link.total(), before);
+Test(catalog_slow_link, does_not_read_from_the_store_what_a_peer_delivered) {
+  SlowLinkFixture site;
+  site.publish_missed(4);
+  site.catalog->apply_peer_configuration(
+      {site.store.revision(), RelayFixture::configuration(site.newest_version)});
+  const std::size_t before = site.link.total_bytes();
+  site.advance(5s);
+  cr_assert_eq(site.version(), site.newest_version);
+  cr_assert_eq(site.link.total_bytes(), before);
 }
 
-Test(catalog_slow_link, has_the_newest_in_force_in_time_though_versions_come_faster_than_the_link) {
+Test(catalog_slow_link, keeps_up_when_versions_exceed_the_link_rate) {
   // Versions that take 0.4 s each, one each 0.2 s: all of them would take twice the time they come.
-  for (const bool others_tell : {true, false}) {
-    Storm storm;
-    storm.others_tell = others_tell;
-    const std::size_t before = storm.link.total();
-    storm.changes(25, 200ms);
-    const std::size_t carried = storm.link.total() - before;
-    cr_assert_leq(carried, 5 * kLinkBytesPerSecond * 6 / 10, "callers share the link: %zu",
-                  carried);
-    storm.pass(2s);
-    cr_assert_eq(storm.version(), storm.newest, "others tell: %d", others_tell);
+  for (const bool peers_send_hints : {true, false}) {
+    SlowLinkFixture site;
+    site.peers_send_hints = peers_send_hints;
+    const std::size_t before = site.link.total_bytes();
+    site.publish_every(25, 200ms);
+    const std::size_t transferred = site.link.total_bytes() - before;
+    cr_assert_leq(transferred, 5 * kLinkBytesPerSecond * 6 / 10, "callers share the link: %zu",
+                  transferred);
+    site.advance(2s);
+    cr_assert_eq(site.version(), site.newest_version, "others tell: %d", peers_send_hints);
   }
 }
 
-Test(catalog_slow_link, hears_a_store_that_answers_later_than_a_hint_waits) {
+Test(catalog_slow_link, accepts_a_store_response_slower_than_the_hint_timeout) {
   // Its calls were given up after 0.5 s each time, and it answers after 2.
-  Storm storm;
-  storm.others_tell = true;
-  storm.store.answer_delay = 2s;
-  storm.miss(1);
-  storm.pass(6s);
-  cr_assert_eq(storm.version(), storm.newest);
+  SlowLinkFixture site;
+  site.peers_send_hints = true;
+  site.store.answer_delay = 2s;
+  site.publish_missed(1);
+  site.advance(6s);
+  cr_assert_eq(site.version(), site.newest_version);
 }
 
-Test(catalog_slow_link, leaves_the_link_to_callers_when_another_node_was_faster_than_the_store) {
-  Storm storm;
-  const std::size_t before = storm.link.total();
-  storm.change();
-  storm.pass(100ms);
-  cr_assert_gt(storm.link.total(), before, "the store's answer is on its way");
-  storm.catalog->take_from_peer(
-      {storm.store.revision(), RelayFixture::configuration(storm.newest)});
-  storm.pass(3s);
-  cr_assert_leq(storm.link.total() - before, storm.store.object_bytes / 3);
-  storm.change();
-  storm.pass(2s);
-  cr_assert_eq(storm.version(), storm.newest, "it goes on watching");
+Test(catalog_slow_link, drops_a_store_transfer_that_a_peer_made_redundant) {
+  SlowLinkFixture site;
+  const std::size_t before = site.link.total_bytes();
+  site.publish();
+  site.advance(100ms);
+  cr_assert_gt(site.link.total_bytes(), before, "the store's answer is on its way");
+  site.catalog->apply_peer_configuration(
+      {site.store.revision(), RelayFixture::configuration(site.newest_version)});
+  site.advance(3s);
+  cr_assert_leq(site.link.total_bytes() - before, site.store.object_bytes / 3);
+  site.publish();
+  site.advance(2s);
+  cr_assert_eq(site.version(), site.newest_version, "it goes on watching");
 }
 
-Test(catalog_slow_link, asks_a_store_that_is_back_once_and_waits_for_the_answer) {
+Test(catalog_slow_link, lists_once_after_store_recovery_despite_hints) {
   // Seen: a node that the store had turned away asked it for the whole configuration each 60 ms
   // once it was back, since others told of changes, and took none of the answers: the link was full
   // to the end of the day. Cause: a hint found the list that was under way to be no call.
-  Storm storm;
-  storm.store.down = true;
-  storm.pass(6s);
-  storm.miss(1);
-  storm.pass(1s);
-  storm.store.down = false;
-  const int before = storm.store.lists;
+  SlowLinkFixture site;
+  site.store.down = true;
+  site.advance(6s);
+  site.publish_missed(1);
+  site.advance(1s);
+  site.store.down = false;
+  const int before = site.store.lists;
   for (int i = 0; i < 150; ++i) {
-    storm.catalog->hint({storm.store.revision(), 0});
-    storm.runtime.advance(20ms);
+    site.catalog->hint({site.store.revision(), 0});
+    site.runtime.advance(20ms);
   }
-  cr_assert_eq(storm.version(), storm.newest);
-  cr_assert_leq(storm.store.lists - before, 2, "%d", storm.store.lists - before);
+  cr_assert_eq(site.version(), site.newest_version);
+  cr_assert_leq(site.store.lists - before, 2, "%d", site.store.lists - before);
 }
 
-Test(catalog_slow_link, hears_a_store_whose_lists_begin_later_than_they_may) {
+Test(catalog_slow_link, accepts_lists_that_begin_after_the_list_timeout) {
   // Seen in a soak: relays stayed at one version for a minute, while each list of the newest was
   // given up after 1.5 s without a byte, and asked for again. Cause: the same as with hints, at the
   // time limit of a list; the store was busy with large answers, and later than that.
-  Storm storm;
-  storm.store.answer_delay = 2s;
-  storm.miss(1);
-  storm.changes(20, 500ms);
-  storm.pass(4s);
-  cr_assert_eq(storm.version(), storm.newest);
+  SlowLinkFixture site;
+  site.store.answer_delay = 2s;
+  site.publish_missed(1);
+  site.publish_every(20, 500ms);
+  site.advance(4s);
+  cr_assert_eq(site.version(), site.newest_version);
 }
--- a/tests/relay/catalog_test.cpp
+++ b/tests/relay/catalog_test.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 /// A catalog over a store whose lagging answers stand still.
-struct Read {
-  explicit Read(bool joins = false) {
-    settings.joins = joins;
-    put(3);
+struct CatalogFixture {
+  explicit CatalogFixture(bool join_existing = false) {
+    settings.join_existing = join_existing;
+    put_version(3);
     store.replica_revision = store.revision();
-    put(4);
+    put_version(4);
     catalog = std::make_unique<relay::Catalog>(runtime, store, codec, *site.node, settings);
     runtime.advance(1ms);
   }
 
-  void put(std::uint64_t version) { store.put("routes", "main", {{"version", version}}); }
+  void put_version(std::uint64_t version) { store.put("routes", "main", {{"version", version}}); }
   std::uint64_t version() const { return site.node->table()->version(); }
 
   ManualRuntime runtime;
@@ -34,82 +34,82 @@
 
 }  // namespace
 
-Test(catalog, takes_no_old_configuration_when_it_joins) {
-  Read starts(false);
-  cr_assert_eq(starts.version(), 3, "a whole system starts: nothing serves yet");
-  Read joins(true);
-  cr_assert_eq(joins.version(), 4);
+Test(catalog, ignores_stale_configuration_when_joining) {
+  CatalogFixture bootstrapping(false);
+  cr_assert_eq(bootstrapping.version(), 3, "a whole system starts: nothing serves yet");
+  CatalogFixture joining(true);
+  cr_assert_eq(joining.version(), 4);
 }
 
-Test(catalog, follows_a_hint_within_a_second) {
-  Read read;
-  read.catalog->set_readers({false, read.runtime.now()});
+Test(catalog, reads_a_hinted_version_within_a_second) {
+  CatalogFixture fixture;
+  fixture.catalog->set_readers({false, fixture.runtime.now()});
   relay::CatalogRevisions seen;
-  seen.configuration = read.store.revision();
-  read.catalog->hint(seen);
-  read.runtime.advance(1s);
-  cr_assert_eq(read.version(), 4);
+  seen.configuration = fixture.store.revision();
+  fixture.catalog->hint(seen);
+  fixture.runtime.advance(1s);
+  cr_assert_eq(fixture.version(), 4);
 }
 
-Test(catalog, reads_the_latest_when_the_readers_are_silent) {
-  Read read;
+Test(catalog, reads_the_latest_when_store_readers_time_out) {
+  CatalogFixture fixture;
   for (int i = 0; i < 16; ++i) {
-    read.catalog->set_readers({false, read.runtime.now()});
-    read.runtime.advance(250ms);
+    fixture.catalog->set_readers({false, fixture.runtime.now()});
+    fixture.runtime.advance(250ms);
   }
-  const MonotonicTime last_heard = read.runtime.now();
-  cr_assert_eq(read.version(), 3, "readers are heard, but nobody has told of the change");
+  const MonotonicTime last_heard = fixture.runtime.now();
+  cr_assert_eq(fixture.version(), 3, "readers are heard, but nobody has told of the change");
   for (int i = 0; i < 20; ++i) {
-    read.catalog->set_readers({false, last_heard});
-    read.runtime.advance(250ms);
+    fixture.catalog->set_readers({false, last_heard});
+    fixture.runtime.advance(250ms);
   }
-  cr_assert_eq(read.version(), 4);
+  cr_assert_eq(fixture.version(), 4);
 }
 
-Test(catalog, reads_the_latest_when_it_is_a_reader) {
-  Read read;
-  read.catalog->set_readers({true, {}});
-  read.runtime.advance(1ms);
-  cr_assert_eq(read.version(), 4);
+Test(catalog, reads_the_latest_as_store_reader) {
+  CatalogFixture fixture;
+  fixture.catalog->set_readers({true, {}});
+  fixture.runtime.advance(1ms);
+  cr_assert_eq(fixture.version(), 4);
 }
 
-Test(catalog, asks_another_node_for_a_configuration_that_the_store_does_not_give) {
-  Read read;
-  read.catalog->set_readers({false, read.runtime.now()});
-  int asked = 0;
-  read.catalog->set_asking([&] { ++asked; });
-  read.store.down = true;
+Test(catalog, fetches_configuration_from_a_peer_when_the_store_is_down) {
+  CatalogFixture fixture;
+  fixture.catalog->set_readers({false, fixture.runtime.now()});
+  int fetches = 0;
+  fixture.catalog->set_peer_fetch([&] { ++fetches; });
+  fixture.store.down = true;
   relay::CatalogRevisions seen;
-  seen.configuration = read.store.revision() + 5;
-  read.catalog->hint(seen);
-  read.runtime.advance(read.settings.ask_peer_after - 1ms);
-  cr_assert_eq(asked, 0, "a store that answers at once comes first");
-  read.runtime.advance(1ms);
-  cr_assert_eq(asked, 1);
-  read.runtime.advance(3s);
-  cr_assert_geq(asked, 3, "until somebody has it");
+  seen.configuration = fixture.store.revision() + 5;
+  fixture.catalog->hint(seen);
+  fixture.runtime.advance(fixture.settings.peer_fetch_delay - 1ms);
+  cr_assert_eq(fetches, 0, "a store that answers at once comes first");
+  fixture.runtime.advance(1ms);
+  cr_assert_eq(fetches, 1);
+  fixture.runtime.advance(3s);
+  cr_assert_geq(fetches, 3, "until somebody has it");
   ConfigurationMessage message{seen.configuration, RelayFixture::configuration(9)};
   message.configuration.tenants.emplace();
-  read.catalog->take_from_peer(message);
-  cr_assert_eq(read.version(), 9);
-  cr_assert_eq(read.catalog->progress().seen.configuration, seen.configuration);
-  const int before = asked;
-  read.runtime.advance(3s);
-  cr_assert_eq(asked, before);
-  cr_assert_not(read.catalog->configuration_for_peer({{}, kMaxConfigurationMessage}).empty(),
+  fixture.catalog->apply_peer_configuration(message);
+  cr_assert_eq(fixture.version(), 9);
+  cr_assert_eq(fixture.catalog->progress().seen.configuration, seen.configuration);
+  const int before = fetches;
+  fixture.runtime.advance(3s);
+  cr_assert_eq(fetches, before);
+  cr_assert_not(fixture.catalog->configuration_for_peer({{}, kMaxConfigurationMessage}).empty(),
                 "it can hand it on");
 }
 
-Test(catalog, takes_no_older_configuration_from_another_node) {
-  Read read;
-  read.catalog->take_from_peer({1000, RelayFixture::configuration(9)});
-  read.catalog->take_from_peer({900, RelayFixture::configuration(10)});
-  cr_assert_eq(read.version(), 9);
-  read.catalog->take_from_peer({1100, RelayFixture::configuration(8)});
-  cr_assert_eq(read.version(), 9);
-  auto wrong = RelayFixture::configuration(12);
-  wrong.routes.front().path_prefix = "no-slash";
-  read.catalog->take_from_peer({1200, wrong});
-  cr_assert_eq(read.version(), 9);
-  cr_assert_eq(read.catalog->progress().seen.configuration, 1000);
+Test(catalog, rejects_older_or_invalid_configuration_from_a_peer) {
+  CatalogFixture fixture;
+  fixture.catalog->apply_peer_configuration({1000, RelayFixture::configuration(9)});
+  fixture.catalog->apply_peer_configuration({900, RelayFixture::configuration(10)});
+  cr_assert_eq(fixture.version(), 9);
+  fixture.catalog->apply_peer_configuration({1100, RelayFixture::configuration(8)});
+  cr_assert_eq(fixture.version(), 9);
+  auto invalid = RelayFixture::configuration(12);
+  invalid.routes.front().path_prefix = "no-slash";
+  fixture.catalog->apply_peer_configuration({1200, invalid});
+  cr_assert_eq(fixture.version(), 9);
+  cr_assert_eq(fixture.catalog->progress().seen.configuration, 1000);
 }
--- a/tests/relay/crashing_request_test.cpp
+++ b/tests/relay/crashing_request_test.cpp
@@ -192,7 +192,7 @@
   EndingEngines engines(*fleet.sites[0]);
   try_again_and_again(*fleet.sites[0], engines);
   let_pass(fleet, 2s);
-  fleet.start_all_anew(settings_of(8, 1));
+  fleet.restart_all(settings_of(8, 1));
   for (auto& site : fleet.sites) add_engines(*site);
   let_pass(fleet, 2s);
   for (auto& site : fleet.sites) {
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -15,25 +15,25 @@
 
 const std::vector<relay::PromptPart> kParts{{11, 900}, {12, 80}};
 
-void ask_for_configurations(ExchangingFleet& fleet, std::size_t node, int times) {
+void request_configurations(ExchangingFleet& fleet, std::size_t node, int times) {
   for (int i = 0; i < times; ++i) {
-    fleet.exchanges[node]->ask_configuration({}, [](const ConfigurationMessage&) {});
+    fleet.exchanges[node]->request_configuration({}, [](const ConfigurationMessage&) {});
     fleet.runtime.advance(10ms);
   }
 }
 
 /// Nobody has a configuration; who is asked for one is noted.
-void note_who_is_asked(ExchangingFleet& fleet, std::set<std::size_t>& asked) {
+void record_requested_nodes(ExchangingFleet& fleet, std::set<std::size_t>& requested) {
   for (std::size_t i = 0; i < fleet.exchanges.size(); ++i) {
-    fleet.exchanges[i]->on_configuration_asked([&asked, i](const ConfigurationCall&) {
-      asked.insert(i);
+    fleet.exchanges[i]->on_configuration_request([&requested, i](const ConfigurationCall&) {
+      requested.insert(i);
       return std::string();
     });
   }
 }
 
 /// Of the six nodes of a fleet only the fifth has the newest configuration.
-void let_the_fifth_be_ahead(ExchangingFleet& fleet) {
+void give_fifth_node_newest_revision(ExchangingFleet& fleet) {
   for (std::size_t i = 0; i < 6; ++i) {
     const std::uint64_t revision = i == 4 ? 9 : 7;
     fleet.exchanges[i]->connect_revisions(
@@ -46,11 +46,11 @@
 
 }  // namespace
 
-Test(load_exchange, tells_every_node_of_a_fleet_of_sixty) {
+Test(load_exchange, propagates_load_to_all_sixty_nodes) {
   // Each of 60 nodes heard 16 others and took their sum for the whole load.
   ExchangingFleet fleet(60);
   fleet.runtime.advance(3s);
-  for (std::size_t i = 0; i < 60; ++i) fleet.send_one(i);
+  for (std::size_t i = 0; i < 60; ++i) fleet.send_prompt(i);
   fleet.runtime.advance(3s);
   for (std::size_t i = 0; i < 60; ++i) {
     cr_assert_eq(fleet.engine(i).peers->in_flight, 59, "%u", fleet.engine(i).peers->in_flight);
@@ -58,17 +58,17 @@
   }
 }
 
-Test(load_exchange, shows_a_change_to_all_zones_within_two_sums) {
+Test(load_exchange, propagates_a_change_to_all_zones_within_two_sums) {
   ExchangingFleet fleet(60, 5);
   fleet.runtime.advance(4s);
-  fleet.send_one(7);
+  fleet.send_prompt(7);
   fleet.runtime.advance(230ms);
   for (std::size_t i = 0; i < 60; ++i) {
     cr_assert_eq(fleet.engine(i).peers->in_flight, i == 7 ? 0 : 1, "node %zu", i);
   }
 }
 
-Test(load_exchange, hands_prompts_and_troubles_on_to_all_zones) {
+Test(load_exchange, propagates_prompts_and_troubles_to_all_zones) {
   ExchangingFleet fleet(60, 5);
   fleet.runtime.advance(4s);
   RelayFixture& site = *fleet.sites[3];
@@ -85,7 +85,7 @@
   }
 }
 
-Test(load_exchange, tells_all_nodes_that_an_engine_leaves_and_none_that_it_rests) {
+Test(load_exchange, propagates_draining_but_not_cooldown) {
   for (const std::size_t nodes : {2, 60}) {
     ExchangingFleet fleet(nodes, nodes == 2 ? 1 : 5);
     fleet.runtime.advance(4s);
@@ -101,36 +101,36 @@
   }
 }
 
-Test(load_exchange, goes_on_when_the_collectors_of_a_zone_die) {
+Test(load_exchange, recovers_when_all_collectors_fail) {
   ExchangingFleet fleet(60, 5);
   fleet.runtime.advance(4s);
-  const auto dead = fleet.collectors();
-  cr_assert_geq(dead.size(), 5);
-  for (const std::size_t i : dead) fleet.cut(i);
+  const auto failed = fleet.collectors();
+  cr_assert_geq(failed.size(), 5);
+  for (const std::size_t i : failed) fleet.disconnect(i);
   fleet.runtime.advance(5s);
-  const std::size_t alive = fleet.first_but(dead);
-  fleet.send_one(alive);
+  const std::size_t alive = fleet.first_except(failed);
+  fleet.send_prompt(alive);
   fleet.runtime.advance(400ms);
   for (std::size_t i = 0; i < 60; ++i) {
-    if (i == alive || dead.count(i) > 0) continue;
+    if (i == alive || failed.count(i) > 0) continue;
     cr_assert(fleet.engine(i).peers.has_value(), "node %zu", i);
     cr_assert_eq(fleet.engine(i).peers->in_flight, 1, "node %zu", i);
   }
 }
 
-Test(load_exchange, sends_less_than_a_mesh_between_zones) {
+Test(load_exchange, limits_cross_zone_messages) {
   ExchangingFleet fleet(60, 5);
   fleet.runtime.advance(4s);
-  fleet.network.between_zones = 0;
+  fleet.network.cross_zone_messages = 0;
   for (int change = 0; change < 100; ++change) {
-    for (std::size_t i = 0; i < 60; ++i) fleet.send_one(i);
+    for (std::size_t i = 0; i < 60; ++i) fleet.send_prompt(i);
     fleet.runtime.advance(10ms);
   }
   // Two collectors of five zones tell two of each other zone every 30 ms.
-  cr_assert_leq(fleet.network.between_zones, 35 * 5 * 2 * 4 * 2);
+  cr_assert_leq(fleet.network.cross_zone_messages, 35 * 5 * 2 * 4 * 2);
 }
 
-Test(load_exchange, sums_up_more_rarely_on_a_small_machine) {
+Test(load_exchange, collects_less_often_on_small_machines) {
   // A machine that tells no capacity divided by nothing, and summed up as often as a large one.
   for (const double capacity : {0.0, 0.02, 1.0}) {
     ExchangingFleet fleet(0);
@@ -151,7 +151,7 @@
   }
 }
 
-Test(load_exchange, sends_no_more_messages_in_a_larger_fleet) {
+Test(load_exchange, message_rate_is_bounded_for_any_fleet_size) {
   int most = 0;
   for (const std::size_t nodes : {6U, 17U, 60U}) {
     ExchangingFleet fleet(nodes);
@@ -167,94 +167,94 @@
   cr_assert_leq(most, 1100, "in one second of constant change: %d", most);
 }
 
-Test(load_exchange, lets_a_node_that_joins_learn_what_the_engines_keep) {
+Test(load_exchange, joining_node_receives_cache_snapshot) {
   ExchangingFleet fleet(3);
   fleet.runtime.advance(3s);
   for (const auto& site : fleet.sites) site->node->learn_prompt_read({EngineId("p1"), kParts});
-  relay::LoadExchangeSettings joins;
-  joins.joins = true;
-  fleet.add(joins);
+  relay::LoadExchangeSettings joining;
+  joining.join_existing = true;
+  fleet.add(joining);
   fleet.runtime.advance(1s);
   cr_assert_eq(fleet.engine(3).cache.kept().size(), 2);
 }
 
-Test(load_exchange, asks_no_longer_than_a_while_where_nobody_knows_more) {
+Test(load_exchange, stops_pulling_snapshots_when_peers_have_none) {
   ExchangingFleet fleet(0);
-  relay::LoadExchangeSettings joins;
-  joins.joins = true;
-  fleet.add(joins);
-  fleet.add(joins);
+  relay::LoadExchangeSettings joining;
+  joining.join_existing = true;
+  fleet.add(joining);
+  fleet.add(joining);
   fleet.runtime.advance(20s);
   cr_assert(fleet.engine(0).cache.kept().empty());
 }
 
-Test(load_exchange, tells_of_troubles_and_of_its_progress) {
+Test(load_exchange, reports_troubles_and_store_progress) {
   ExchangingFleet fleet(2);
-  relay::CatalogRevisions heard;
+  relay::CatalogRevisions received;
   fleet.exchanges[0]->connect_revisions(
       [] {
         return relay::StoreProgress{{5, 6}, {}};
       },
       [](const auto&) {});
   fleet.exchanges[1]->connect_revisions([] { return relay::StoreProgress{}; },
-                                        [&heard](const auto& seen) { heard = seen; });
+                                        [&received](const auto& seen) { received = seen; });
   fleet.runtime.advance(3s);
   fleet.sites[0]->node->note_trouble(
       {EngineId("p1"), EngineStage::kPrefill, relay::TroubleKind::kMisdirected});
   fleet.runtime.advance(100ms);
   cr_assert_gt(fleet.engine(1).avoided_until, fleet.runtime.now());
-  cr_assert(heard == (relay::CatalogRevisions{5, 6}));
+  cr_assert(received == (relay::CatalogRevisions{5, 6}));
 }
 
-Test(load_exchange, asks_its_collector_its_zone_and_the_others_for_a_configuration) {
+Test(load_exchange, requests_configuration_from_collector_own_zone_and_other_zones) {
   // A zone that the store turns away as a whole has it from nobody of its own.
   ExchangingFleet fleet(60, 5);
   fleet.runtime.advance(4s);
-  std::set<std::size_t> asked;
-  note_who_is_asked(fleet, asked);
+  std::set<std::size_t> requested;
+  record_requested_nodes(fleet, requested);
   const auto collectors = fleet.collectors();
-  const std::size_t asks = fleet.first_but(collectors);
-  ask_for_configurations(fleet, asks, 30);
+  const std::size_t requester = fleet.first_except(collectors);
+  request_configurations(fleet, requester, 30);
   int collector = 0;
-  int near = 0;
-  int far = 0;
-  for (const std::size_t i : asked) {
-    const bool own_zone = i % 5 == asks % 5;
+  int same_zone = 0;
+  int other_zone = 0;
+  for (const std::size_t i : requested) {
+    const bool own_zone = i % 5 == requester % 5;
     if (own_zone && collectors.count(i) > 0) ++collector;
-    if (own_zone && collectors.count(i) == 0) ++near;
-    if (!own_zone) ++far;
+    if (own_zone && collectors.count(i) == 0) ++same_zone;
+    if (!own_zone) ++other_zone;
   }
   cr_assert_geq(collector, 1);
-  cr_assert_geq(near, 2);
-  cr_assert_geq(far, 2);
+  cr_assert_geq(same_zone, 2);
+  cr_assert_geq(other_zone, 2);
 }
 
-Test(load_exchange, asks_those_that_have_it_in_a_small_fleet) {
+Test(load_exchange, small_fleet_requests_configuration_from_up_to_date_nodes) {
   ExchangingFleet fleet(6);
   fleet.runtime.advance(3s);
-  std::set<std::size_t> asked;
-  note_who_is_asked(fleet, asked);
-  let_the_fifth_be_ahead(fleet);
+  std::set<std::size_t> requested;
+  record_requested_nodes(fleet, requested);
+  give_fifth_node_newest_revision(fleet);
   fleet.runtime.advance(3s);
-  ask_for_configurations(fleet, 0, 10);
-  cr_assert_eq(asked, std::set<std::size_t>{4});
+  request_configurations(fleet, 0, 10);
+  cr_assert_eq(requested, std::set<std::size_t>{4});
 }
 
-Test(load_exchange, asks_no_node_that_is_no_longer_heard_for_a_configuration) {
+Test(load_exchange, does_not_request_configuration_from_silent_nodes) {
   // The first to have it may lose power at once; a connection to it would hang.
   ExchangingFleet fleet(6);
-  let_the_fifth_be_ahead(fleet);
+  give_fifth_node_newest_revision(fleet);
   fleet.runtime.advance(5s);
-  fleet.cut(4);
+  fleet.disconnect(4);
   fleet.runtime.advance(5s);
   int answered = 0;
   for (int i = 0; i < 6; ++i) {
     if (i == 4) continue;
-    fleet.exchanges[i]->on_configuration_asked([&answered](const ConfigurationCall&) {
+    fleet.exchanges[i]->on_configuration_request([&answered](const ConfigurationCall&) {
       ++answered;
       return std::string();
     });
   }
-  ask_for_configurations(fleet, 0, 10);
+  request_configurations(fleet, 0, 10);
   cr_assert_eq(answered, 10);
 }
--- a/tests/relay/policy_options_test.cpp
+++ b/tests/relay/policy_options_test.cpp
@@ -22,7 +22,7 @@
   cr_assert(asked.has_value());
   cr_assert_not(asked->help);
   cr_assert_eq(asked->settings.placement.home_share, PlacementSettings{}.home_share);
-  cr_assert(asked->settings.catalog.longest_gather == CatalogSettings{}.longest_gather);
+  cr_assert(asked->settings.catalog.max_batch_delay == CatalogSettings{}.max_batch_delay);
 }
 
 Test(policy_options, changes_what_is_named) {
@@ -31,7 +31,7 @@
   cr_assert(asked.has_value());
   cr_assert_eq(asked->settings.placement.home_share, 0.5);
   cr_assert_eq(asked->settings.prefill.in_time_share, 1000);
-  cr_assert(asked->settings.catalog.longest_gather == 900ms);
+  cr_assert(asked->settings.catalog.max_batch_delay == 900ms);
 }
 
 Test(policy_options, says_what_is_wrong_with_the_command_line) {
--- a/tests/relay/role_coordinator_test.cpp
+++ b/tests/relay/role_coordinator_test.cpp
@@ -97,7 +97,7 @@
   const auto one = coordinator(site, planners.store, "n1");
   site.runtime.advance(4300ms);
   cr_assert_gt(one->lease.held_for().count(), Duration(2s).count());
-  cr_assert_lt(one->lease.held_for().count(), Duration(site.settings.roles.settle).count());
+  cr_assert_lt(one->lease.held_for().count(), Duration(site.settings.roles.takeover_delay).count());
   cr_assert_eq(count_of(site, "/report"), 0);
 }
 
--- a/tests/relay/support/exchanging_fleet.cpp
+++ b/tests/relay/support/exchanging_fleet.cpp
@@ -4,20 +4,20 @@
 
 MockTransport::MockTransport(MockNetwork& shared, std::string own)
     : address(std::move(own)), network(shared) {
-  this->network.ends[this->address] = this;
+  this->network.nodes[this->address] = this;
 }
 
 void MockTransport::send(const std::string& to, std::string_view text) {
   ++this->sent;
-  const auto end = this->network.ends.find(to);
-  if (end == this->network.ends.end()) return;
-  if (end->second->zone != this->zone) ++this->network.between_zones;
+  const auto end = this->network.nodes.find(to);
+  if (end == this->network.nodes.end()) return;
+  if (end->second->zone != this->zone) ++this->network.cross_zone_messages;
   end->second->datagram_handler(text, this->address);
 }
 
 void MockTransport::call(const std::string& to, std::string text, Duration, AnswerHandler handler) {
-  const auto end = this->network.ends.find(to);
-  if (end == this->network.ends.end()) return handler(tl::make_unexpected(std::string("silent")));
+  const auto end = this->network.nodes.find(to);
+  if (end == this->network.nodes.end()) return handler(tl::make_unexpected(std::string("silent")));
   end->second->call_handler(std::move(text), [&](std::string answer) { handler(answer); });
 }
 
--- a/tests/relay/support/exchanging_fleet.hpp
+++ b/tests/relay/support/exchanging_fleet.hpp
@@ -44,8 +44,8 @@
 
 class MockNetwork {
  public:
-  std::map<std::string, MockTransport*> ends;
-  int between_zones = 0;  ///< Messages.
+  std::map<std::string, MockTransport*> nodes;
+  int cross_zone_messages = 0;  ///< Messages.
 };
 
 /// Relay nodes on one clock, store and network.
@@ -72,7 +72,7 @@
   }
 
   /// A node sends a prompt of ten tokens to the engine.
-  void send_one(std::size_t node) {
+  void send_prompt(std::size_t node) {
     this->sites[node]->node->engines().on_sent(EngineId("p1"), {10, false});
     this->sites[node]->node->note_load_changed();
   }
@@ -87,22 +87,22 @@
   }
 
   /// From now on nothing reaches the node, and nothing leaves it.
-  void cut(std::size_t node) {
-    this->network.ends.erase(this->transports[node]->address);
+  void disconnect(std::size_t node) {
+    this->network.nodes.erase(this->transports[node]->address);
     this->exchanges[node].reset();
   }
 
   /// All nodes are killed and start again; what lasts is in the store.
-  void start_all_anew(const std::vector<relay::LoadExchangeSettings>& settings) {
+  void restart_all(const std::vector<relay::LoadExchangeSettings>& settings) {
     this->quarantines.clear();
     this->exchanges.clear();
-    this->network.ends.clear();
+    this->network.nodes.clear();
     this->transports.clear();
     this->sites.clear();
     for (const auto& own : settings) this->add(own);
   }
 
-  static std::size_t first_but(const std::set<std::size_t>& others) {
+  static std::size_t first_except(const std::set<std::size_t>& others) {
     std::size_t node = 0;
     while (others.count(node) > 0) ++node;
     return node;
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -211,11 +211,11 @@
 }
 
 std::size_t MemoryStore::received(store::CallId call) const {
-  return link == nullptr ? 0 : link->carried(call);
+  return link == nullptr ? 0 : link->transferred(call);
 }
 
 void MemoryStore::cancel(store::CallId call) {
-  if (link != nullptr) link->drop(call);
+  if (link != nullptr) link->cancel(call);
   std::erase_if(waiting_, [call](const Waiting& waiting) { return waiting.call == call; });
 }
 
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -212,15 +212,17 @@
     if (link == nullptr) return reply<Value>(std::move(handler), std::move(value));
     if (answer_delay >= timeout) {
       const auto late = tl::make_unexpected(store::StoreError::kUncertain);
-      link->carry(call, 0, timeout, [handler = std::move(handler), late] { handler(late); });
+      link->start_transfer(call, 0, timeout,
+                           [handler = std::move(handler), late] { handler(late); });
       return;
     }
     const MonotonicTime begun = runtime_.now() + answer_delay;
-    link->carry(call, objects * object_bytes, answer_delay,
-                [this, begun, handler = std::move(handler), value = std::move(value)]() mutable {
-                  if (value) value->transfer = runtime_.now() - begun;
-                  handler(std::move(value));
-                });
+    link->start_transfer(
+        call, objects * object_bytes, answer_delay,
+        [this, begun, handler = std::move(handler), value = std::move(value)]() mutable {
+          if (value) value->transfer = runtime_.now() - begun;
+          handler(std::move(value));
+        });
   }
   template <typename Value>
   void reply(store::StoreHandler<Value> handler, tl::expected<Value, store::StoreError> value) {
--- a/tests/relay/support/limited_fleet.hpp
+++ b/tests/relay/support/limited_fleet.hpp
@@ -41,7 +41,7 @@
     this->callers.erase(node);
     this->judge.excuse_node(std::to_string(node));
     this->dead[node] = true;
-    this->fleet.cut(node);
+    this->fleet.disconnect(node);
   }
 
   void run(Duration duration) {
--- a/tests/relay/support/slow_link.hpp
+++ b/tests/relay/support/slow_link.hpp
@@ -19,30 +19,31 @@
 
   /// Begins a transfer after `delay`.
   /// @param on_whole called once all bytes have come, never before this returns.
-  void carry(std::uint64_t id, std::size_t bytes, Duration delay, std::function<void()> on_whole);
+  void start_transfer(std::uint64_t id, std::size_t bytes, Duration delay,
+                      std::function<void()> on_complete);
 
   /// Ends a transfer before it is whole.
-  void drop(std::uint64_t id) { transfers_.erase(id); }
+  void cancel(std::uint64_t id) { transfers_.erase(id); }
 
   /// @return bytes of a transfer under way that have come.
-  std::size_t carried(std::uint64_t id) const;
+  std::size_t transferred(std::uint64_t id) const;
 
   /// @return bytes that the link has carried in all.
-  std::size_t total() const { return total_; }
+  std::size_t total_bytes() const { return total_bytes_; }
 
  private:
   struct Transfer {
     std::size_t bytes = 0;
-    std::size_t carried = 0;
-    MonotonicTime begins{};
-    std::function<void()> on_whole;
+    std::size_t transferred = 0;
+    MonotonicTime starts_at{};
+    std::function<void()> on_complete;
   };
   void schedule();
   void tick();
 
   Runtime& runtime_;
   std::size_t bytes_per_second_;
-  std::size_t total_ = 0;
+  std::size_t total_bytes_ = 0;
   std::map<std::uint64_t, Transfer> transfers_;
   std::unique_ptr<Timer> timer_;
 };
--- a/tests/relay/tenants_test.cpp
+++ b/tests/relay/tenants_test.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-Test(tenants, an_engine_gets_the_name_of_the_keys_tenant_and_never_the_key) {
+Test(tenants, engine_receives_tenant_name_but_not_the_key) {
   TenantSite site;
   site.request("/once/a", {{"key", "p-2"}, {"tenant", "guild"}});
   cr_assert_eq(site.http.count(), 1);
@@ -45,7 +45,7 @@
   cr_assert_eq(site.sent().count("key"), 0);
 }
 
-Test(tenants, a_request_without_a_key_in_force_is_refused_and_not_run) {
+Test(tenants, request_without_a_valid_key_is_rejected) {
   TenantSite site;
   cr_assert_eq(site.request("/once/a")->status, 401);
   cr_assert_eq(site.request("/once/a", {{"key", ""}})->status, 401);
@@ -54,7 +54,7 @@
   cr_assert_eq(site.http.count(), 0);
 }
 
-Test(tenants, a_key_that_was_taken_away_is_refused_on_an_open_connection_too) {
+Test(tenants, removed_key_is_rejected_immediately) {
   TenantSite site;
   site.request("/once/a", {{"key", "p-1"}});
   site.node->adopt(with_tenants(3, {tenant("guild", {"g-key"}), tenant("post", {"p-2"})}));
@@ -63,19 +63,19 @@
   cr_assert_eq(site.http.count(), 2);
 }
 
-Test(tenants, a_tenant_may_lose_all_its_keys) {
+Test(tenants, tenant_may_have_no_keys) {
   TenantSite site;
   cr_assert(site.node->adopt(with_tenants(3, {tenant("guild", {}), tenant("post", {"p-1"})})));
   cr_assert_eq(site.request("/once/a", {{"key", "g-key"}})->status, 401);
 }
 
-Test(tenants, a_key_that_two_tenants_hold_is_good_for_neither) {
+Test(tenants, key_shared_by_two_tenants_is_rejected) {
   TenantSite site;
   cr_assert(site.node->adopt(with_tenants(3, {tenant("guild", {"k"}), tenant("post", {"k"})})));
   cr_assert_eq(site.request("/once/a", {{"key", "k"}})->status, 401);
 }
 
-Test(tenants, an_open_route_needs_no_key_and_still_names_a_known_one) {
+Test(tenants, open_route_needs_no_key_but_identifies_known_tenants) {
   TenantSite site;
   auto configuration = with_tenants(3, {tenant("guild", {"g-key"})});
   for (relay::Route& route : configuration.routes) route.open = true;
@@ -86,7 +86,7 @@
   cr_assert_eq(site.sent().get("tenant"), "guild");
 }
 
-Test(tenants, without_tenants_no_key_is_needed_and_none_is_passed_on) {
+Test(tenants, without_tenants_keys_are_optional_and_not_forwarded) {
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.request("/once/a", {{"key", "k"}, {"tenant", "forged"}});
@@ -95,7 +95,7 @@
   cr_assert_eq(site.http.at(0).request.headers.count("tenant"), 0);
 }
 
-Test(tenants, a_tenants_priority_goes_before_that_of_the_route) {
+Test(tenants, tenant_priority_overrides_route_priority) {
   TenantSite site;
   relay::DeclaredTenant urgent = tenant("guild", {"g-key"});
   urgent.priority = 0;
@@ -108,10 +108,10 @@
   cr_assert_eq(site.sent().get("urgency"), "4");
 }
 
-Test(tenants, a_request_under_way_goes_on_when_its_key_is_taken_away) {
+Test(tenants, in_flight_request_survives_key_removal) {
   TenantSite site;
-  const auto seen = site.request("/once/a", {{"key", "g-key"}});
+  const auto reply = site.request("/once/a", {{"key", "g-key"}});
   site.node->adopt(with_tenants(3, {tenant("post", {"p-1"})}));
   site.http.answer(0, 200, RelayFixture::sealed(), "whole");
-  cr_assert_eq(seen->status, 200);
+  cr_assert_eq(reply->status, 200);
 }
