--- a/src/relay/catalog.cpp
+++ b/src/relay/catalog.cpp
@@ -29,7 +29,7 @@
     for (const store::StoredObject& object : list.objects) apply_configuration(object);
   };
   configuration.on_change = [this](const store::ObjectChange& change) {
-    // Without a configuration the last one serves on.
+    // If the object is deleted, the last configuration stays active.
     if (!change.gone) apply_configuration(change.object);
   };
   store::KindWatchHandlers engines;
@@ -48,7 +48,7 @@
 }
 
 void Catalog::update_timing(const Fleet& fleet) {
-  // Readers are few in any fleet, and the others go by their hints.
+  // The number of store readers does not grow with the fleet.
   const auto nodes = static_cast<std::int64_t>(is_store_reader_ ? 1 : fleet.nodes);
   const Duration wait =
       std::clamp(settings_.wait_per_node * nodes, settings_.min_wait, settings_.max_wait);
@@ -69,7 +69,7 @@
 }
 
 void Catalog::set_readers(const StoreReaders& readers) {
-  // A node that has just started counts on the readers until it has had the time to hear of them.
+  // A starting node assumes that there are readers until it could have received their reports.
   const MonotonicTime confirmed_at = std::max(readers.heard_at, started_at_);
   const bool other_readers_active = runtime_.now() - confirmed_at <= settings_.reader_timeout;
   set_watch_freshness(readers.self || !other_readers_active ? store::Freshness::kLatest
@@ -95,9 +95,8 @@
   peer_fetch_timer_ = runtime_.after(delay, [this] { fetch_hinted(); });
 }
 
-/// A peer tells what this node lacks, some kilobytes, where the store tells all: 245 KB of each
-/// version with 1,450 routes, 0.2 s of an idle link of 10 Mbit/s. The store is asked all the same:
-/// there may be nobody else who knows.
+/// Peers send only the difference, the store always the whole configuration. The store watch
+/// continues, as no peer may have the newest version.
 void Catalog::fetch_hinted() {
   peer_fetch_timer_.reset();
   if (hinted_revision_ <= active_revision_) return;
@@ -129,7 +128,7 @@
   const RouteConfiguration& active = node_.table() ? node_.table()->configuration() : empty;
   auto completed = complete(std::move(message), active);
   if (!completed) {
-    // Another configuration came into force since this node asked. It asks again.
+    // The active configuration changed after the request. The next retry requests it again.
     return log_event(LogArea::kConfig, LogLevel::kWarning, "config_part_unfit",
                      {{"in_force", active_revision_}, {"why", completed.error()}});
   }
@@ -144,7 +143,7 @@
   configuration_->advance(active_revision_);
 }
 
-/// A configuration that was refused, or is older than the one in force, has no say.
+/// Ignores configurations that were rejected or superseded.
 void Catalog::update_active_revision(std::uint64_t version, std::uint64_t revision) {
   if (node_.table() == nullptr || node_.table()->version() != version) return;
   active_revision_ = std::max(active_revision_, revision);
@@ -158,12 +157,12 @@
   return bytes.size() <= call.most_bytes && admit_peer_answer(bytes.size()) ? bytes : "";
 }
 
-/// Long answers to many peers at once would take this node's link from its callers.
+/// Rate-limits large answers, which compete with callers for this node's link.
 bool Catalog::admit_peer_answer(std::size_t bytes) {
   if (bytes <= settings_.large_answer_bytes) return true;
   const MonotonicTime now = runtime_.now();
   if (now < next_large_answer_at_) return false;
-  // A machine may tell no link.
+  // The link rate may be unknown (0).
   const double megabits = std::max(1.0, settings_.link_megabits_per_second);
   const double bytes_per_second = settings_.peer_bandwidth_share * megabits * kBytesPerMegabit;
   next_large_answer_at_ = now + from_seconds(static_cast<double>(bytes) / bytes_per_second);
--- a/src/relay/catalog.hpp
+++ b/src/relay/catalog.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Feeds a relay node from the store: the operator's configuration and the engines' records.
+/// Keeps a relay node's configuration and engine records in sync with the store.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace shuntbank::relay {
 
-/// Reads objects of the store. Holds names and formats and decides nothing.
+/// Maps store objects to configuration and engine records. Contains no policy.
 class CatalogCodec {
  public:
   CatalogCodec() = default;
@@ -30,16 +30,16 @@
   virtual std::string configuration_name() const = 0;
   virtual std::string engine_kind() const = 0;
 
-  /// @return the configuration, or what cannot be read.
+  /// @return the configuration, or a description of what is malformed.
   virtual tl::expected<RouteConfiguration, std::string> configuration(
       const nlohmann::json& content) const = 0;
 
-  /// @return the engine's record, or what cannot be read.
+  /// @return the engine's record, or a description of what is malformed.
   virtual tl::expected<EngineRecord, std::string> engine(
       const store::StoredObject& object) const = 0;
 };
 
-/// Watches both kinds until it is destroyed.
+/// Watches configuration and engine objects until it is destroyed.
 class Catalog {
  public:
   Catalog(Runtime& runtime, store::ObjectStore& store, const CatalogCodec& codec, RelayNode& node,
@@ -47,27 +47,28 @@
   Catalog(const Catalog&) = delete;
   Catalog& operator=(const Catalog&) = delete;
 
-  /// @return the newest changes that this node has seen, and when the store confirmed them.
+  /// @return the newest revisions that this node has seen, and when the store confirmed them.
   StoreProgress progress() const;
 
-  /// Tells who reads the store. While others do, this node's own reading may lag: they give hints.
+  /// Sets which nodes read the newest store state. While others do, this node accepts stale reads
+  /// and relies on their hints.
   void set_readers(const StoreReaders& readers);
 
-  /// Another node has seen changes up to these.
+  /// Reports that another node has seen changes up to these revisions.
   void hint(const CatalogRevisions& revisions);
 
-  /// Sets how another node is asked for its configuration: the store may turn this node away while
-  /// it serves the others, and a key that was taken away must not stay in force here.
+  /// Sets the function that requests the configuration from another node. The store may reject this
+  /// node while it serves others, and a revoked key must not stay valid here.
   void set_peer_fetch(std::function<void()> peer_fetch) { peer_fetch_ = std::move(peer_fetch); }
 
-  /// @return what this node asks of another one: all that is newer than its own.
+  /// @return a request to another node for everything newer than the active configuration.
   ConfigurationCall configuration_call();
 
-  /// Another node has answered what `asking` asked.
+  /// Applies a configuration received from another node unless it is older than the active one.
   void apply_peer_configuration(ConfigurationMessage message);
 
-  /// @return what another node lacks of the configuration in force; empty: nothing, or it should
-  /// ask somebody else.
+  /// @return the parts of the active configuration that the caller lacks; empty if there are none
+  /// or the caller should ask another node.
   std::string configuration_for_peer(const ConfigurationCall& call);
 
   /// @return how long ago the store last confirmed the configuration.
@@ -96,12 +97,12 @@
   CatalogSettings settings_;
   MonotonicTime started_at_;
   bool is_store_reader_ = false;
-  std::uint64_t active_revision_ = 0;     ///< Of the store, at which it holds what is in force.
-  std::uint64_t hinted_revision_ = 0;     ///< Newest revision that others have told of.
-  Duration peer_fetch_backoff_{};         ///< Until the next peer is asked.
-  ConfigurationSummary summary_;          ///< Of `summarized_`.
-  std::uint64_t summarized_version_ = 0;  ///< The version whose summary is known; 0: none.
-  MonotonicTime next_large_answer_at_{};  ///< When peers may have a long answer again.
+  std::uint64_t active_revision_ = 0;     ///< Store revision of the active configuration.
+  std::uint64_t hinted_revision_ = 0;     ///< Newest revision reported by other nodes.
+  Duration peer_fetch_backoff_{};         ///< Delay before the next peer is asked.
+  ConfigurationSummary summary_;          ///< Summary of `summarized_version_`.
+  std::uint64_t summarized_version_ = 0;  ///< Version of `summary_`; 0: none.
+  MonotonicTime next_large_answer_at_{};  ///< Earliest time of the next large answer to a peer.
   std::function<void()> peer_fetch_;
   std::unique_ptr<Timer> peer_fetch_timer_;
 };
--- a/src/relay/configuration_exchange.cpp
+++ b/src/relay/configuration_exchange.cpp
@@ -9,7 +9,7 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Kinds of nodes that are asked in turn in a large fleet.
+/// Groups of nodes that requests rotate through in a large fleet.
 constexpr std::uint64_t kTargetKinds = 3;
 
 void deliver_answer(const tl::expected<std::string, std::string>& answer,
@@ -69,9 +69,9 @@
       });
 }
 
-/// In a small fleet those that told of the newest one. In a large one by turns the collector, which
-/// reads the store and has the largest machine of the zone; any node of the zone, since the
-/// collector may lack it; and any node at all, since the store may turn the whole zone away.
+/// In a small fleet the nodes that reported the newest revision. In a large one, in rotation: the
+/// collector, which reads the store; the nodes of the zone, as the collector may lag; and all
+/// nodes, as the store may be unreachable from the whole zone.
 std::vector<std::string> ConfigurationExchange::candidate_addresses(bool uses_zones) {
   if (!uses_zones) return this->newest_revision_addresses();
   const std::uint64_t turn = this->request_count++ % kTargetKinds;
--- a/src/relay/configuration_exchange.hpp
+++ b/src/relay/configuration_exchange.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Hands configurations from node to node, so that the store need not tell each of them all of each
-/// version, and a node that it turns away has the newest one all the same.
+/// Transfers configurations between nodes. This reduces the load on the store, and a node that the
+/// store rejects still gets the newest version.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node in it.
+/// One node's side of the configuration exchange.
 class ConfigurationExchange {
  public:
   /// All references outlive this.
@@ -30,20 +30,20 @@
   ConfigurationExchange(const ConfigurationExchange&) = delete;
   ConfigurationExchange& operator=(const ConfigurationExchange&) = delete;
 
-  /// Sets what is told to a node that asks; empty: nothing that it lacks.
+  /// Sets the handler that answers requests of other nodes; an empty answer means no newer parts.
   void on_request(std::function<std::string(const ConfigurationCall&)> handler) {
     this->request_handler = std::move(handler);
   }
 
-  /// @return the answer to a call of another node; empty: none.
+  /// @return the answer to another node's call; may be empty.
   std::string answer(std::string_view call) const;
 
-  /// A node has told this one directly which revision it has.
+  /// Records the revision that a peer has reported to this node directly.
   void record_peer_revision(const NodeId& peer, std::uint64_t revision);
 
-  /// Asks another node. Asks nobody while an answer is still to come: two on one link come later
-  /// than one.
-  /// @param by_zones whether the fleet is large, so that nodes do not hear each other directly.
+  /// Requests the configuration from another node. Does nothing while a request is pending, as
+  /// parallel answers would share the link.
+  /// @param uses_zones whether nodes exchange load by zones rather than directly.
   void request(const ConfigurationCall& call, bool uses_zones,
                std::function<void(ConfigurationMessage)> handler);
 
@@ -63,7 +63,7 @@
   std::function<std::string(const ConfigurationCall&)> request_handler;
   std::map<NodeId, PeerRevision> peer_revisions;
   std::uint64_t request_count = 0;
-  bool request_pending = false;  ///< The answer is still to come.
+  bool request_pending = false;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/relay/exchange_settings.hpp
+++ b/src/relay/exchange_settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tunables of what the relay nodes tell each other, in one place.
+/// Settings of the exchange of state between relay nodes.
 #pragma once
 
 #include <string>
@@ -11,57 +11,54 @@
 
 namespace shuntbank::relay {
 
-/// Tunables of the list of nodes.
+/// Settings of the list of nodes.
 struct PeerDirectorySettings {
-  std::string kind = "shuntbank-nodes";  ///< Of the objects that name the nodes.
-  /// The nodes of a new system start together; a list taken later holds them all.
+  std::string kind = "shuntbank-nodes";  ///< Store kind of the node records.
+  /// Delay before the first list, so that it includes nodes that start at the same time.
   Duration initial_list_delay = std::chrono::milliseconds(1500);
 };
 
-/// Tunables of the exchange by zones.
+/// Settings of the exchange by zones.
 struct ZoneExchangeSettings {
   CollectorChoiceSettings choice;
   LoadCollectorSettings collector;
-  /// Between two sums, as far as the collector's machine bears it. All nodes choose on the same
-  /// view until the next one, so that its age is what sends them to the same engine: an overload at
-  /// 66 nodes lost a seventh more requests at 100 ms than at 30.
+  /// Interval between two sums if the collector's capacity allows it. With an older view more nodes
+  /// choose the same engine.
   Duration min_collect_interval = std::chrono::milliseconds(30);
-  Duration max_collect_interval = std::chrono::milliseconds(120);  ///< Well below `choice.silence`.
-  /// Messages a second that a collector sends, for each core of its machine: at 10 us each, 4% of
-  /// what it has.
+  Duration max_collect_interval = std::chrono::milliseconds(120);  ///< Below `choice.silence`.
+  /// Messages per second that a collector sends for each core of its machine; about 4% of its CPU.
   double messages_per_core = 4000;
-  /// Prompts read that one sum tells of; more come from a fleet that nobody could follow.
+  /// Maximum number of prompt reads in one sum.
   std::size_t max_prompt_reads = 1000;
 };
 
-/// Tunables of handing configurations on.
+/// Settings of the configuration exchange.
 struct ConfigurationExchangeSettings {
-  /// Until a peer's answer begins: a new connection over a full link takes half of it.
+  /// Timeout until a peer's answer begins; includes connecting over a saturated link.
   Duration first_byte_timeout = std::chrono::seconds(1);
-  /// A node that was not heard for so long is not asked: it may be dead, and a connection to it
-  /// hang. Collectors leave it out of their sums as late.
+  /// A node that has been silent for longer is not asked, as a connection to it may hang.
   Duration peer_timeout = LoadCollectorSettings{}.member_life;
 };
 
-/// Tunables of the exchange.
+/// Settings of the load exchange.
 struct LoadExchangeSettings {
   PeerDirectorySettings peers;
   ZoneExchangeSettings zones;
   ConfigurationExchangeSettings configurations;
-  ZoneName zone;                                         ///< This node's own.
-  double capacity = 1;                                   ///< Of this machine, in cores.
-  Duration flush_delay = std::chrono::milliseconds(15);  ///< Changes within it share a message.
-  /// Up to so many peers, each node tells all the others; with more, by zones. All nodes together
-  /// send messages in proportion to the square of this.
+  ZoneName zone;                                         ///< Zone of this node.
+  double capacity = 1;                                   ///< CPU cores of this machine.
+  Duration flush_delay = std::chrono::milliseconds(15);  ///< Batches changes.
+  /// Up to this many peers, each node sends its load to all others; beyond it, by zones. The
+  /// fleet's message rate grows with the square of this value.
   std::size_t max_direct_peers = 24;
-  /// Peers that are told each `flush_delay`; with more, messages are rarer in proportion, so that a
-  /// node sends as many in a small fleet as in a large one.
+  /// With more peers than this, the flush delay grows in proportion, which bounds a node's message
+  /// rate.
   std::size_t peers_per_flush = 9;
-  Duration refresh_interval = std::chrono::seconds(1);  ///< Between messages without a change.
-  /// Nodes of a small fleet that read the latest from the store and give the others hints; in a
-  /// large one the collectors do. One may be cut off, and one more be dead.
+  Duration refresh_interval = std::chrono::seconds(1);  ///< Between messages while nothing changes.
+  /// Nodes of a small fleet that read the newest store state and send hints to the others; in a
+  /// large one the collectors do. Tolerates the loss of two.
   std::size_t store_readers = 3;
-  /// A node that joins a running system asks others what the engines keep, so often at most.
+  /// A node that joins a running system pulls a snapshot of the engines' caches from a peer.
   bool join_existing = false;
   int max_pulls = 8;
   Duration pull_interval = std::chrono::milliseconds(250);
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -14,7 +14,7 @@
   return {transport.local_address(), settings.zone, settings.capacity};
 }
 
-/// A node that joins looks at once.
+/// A node that joins a running system lists its peers immediately.
 PeerDirectorySettings directory_settings(const LoadExchangeSettings& settings) {
   PeerDirectorySettings peers = settings.peers;
   if (settings.join_existing) peers.initial_list_delay = Duration::zero();
@@ -58,12 +58,12 @@
 
 LoadExchange::~LoadExchange() {
   *alive_ = false;
-  // The node outlives this, and still ends its requests.
+  // The node outlives this object and completes its requests.
   node_.on_load_changed(nullptr);
   node_.permits().disconnect();
 }
 
-/// Idle nodes speak as well: who is silent is taken for dead.
+/// Idle nodes send messages too, as silent peers are considered dead.
 void LoadExchange::refresh() {
   node_.engines().forget_silent_peers(runtime_.now());
   flush();
@@ -113,8 +113,8 @@
   configurations_.request(call, uses_zones(), std::move(handler));
 }
 
-/// Asks one peer after the other until one answers. Parts are kept only for engines that are known,
-/// so this waits for their list.
+/// Asks one peer after another until one answers. Waits for the list of engines, as entries of
+/// unknown engines are discarded.
 void LoadExchange::pull_cache_snapshot() {
   if (pulls_left_-- <= 0) return;
   pull_timer_ = runtime_.after(settings_.pull_interval, [this] { pull_cache_snapshot(); });
@@ -126,7 +126,7 @@
   if (sent) pull_timer_.reset();
 }
 
-/// @return whether there was anybody to ask.
+/// @return false if there is no peer to call.
 bool LoadExchange::call_random_peer(std::string_view call, PeerTransport::AnswerHandler handler) {
   const auto addresses = peers_.nearby_addresses();
   if (addresses.empty()) return false;
@@ -197,11 +197,10 @@
   return message;
 }
 
-/// In a small fleet the first few of those that are heard, by a hash; in a large one the
-/// collectors.
+/// In a small fleet the first few live nodes by hash; in a large one the collectors.
 bool LoadExchange::is_store_reader() const {
   if (uses_zones()) return zones_.is_designated_collector();
-  if (peers_.peer_count() == 0) return false;  // There are none, or the list is still to come.
+  if (peers_.peer_count() == 0) return false;  // No peers, or not listed yet.
   const std::uint64_t own_hash = hash64(self_.value());
   const MonotonicTime now = runtime_.now();
   const auto preceding =
--- a/src/relay/load_exchange.hpp
+++ b/src/relay/load_exchange.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tells the other relay nodes what this one has under way at the engines, and hears the same from
-/// them. It only betters placement: a lost, late or forged message cannot break a promise.
+/// Exchanges the load at the engines between relay nodes. Used for placement only: lost, delayed or
+/// forged messages do not affect correctness.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node in the exchange.
+/// One node's side of the load exchange.
 class LoadExchange {
  public:
   /// All references outlive this.
@@ -33,36 +33,36 @@
   LoadExchange(const LoadExchange&) = delete;
   LoadExchange& operator=(const LoadExchange&) = delete;
 
-  /// Sets where this node's progress in the store's changes comes from, and who is told that of
-  /// others.
+  /// Sets the source of this node's store progress and the handler for revisions that peers report.
   void connect_revisions(std::function<StoreProgress()> own_progress,
                          std::function<void(const CatalogRevisions&)> on_peer_revisions);
 
-  /// @return who reads the store, this node or others.
+  /// @return whether this node is a store reader, and the last confirmation known of any reader.
   StoreReaders store_readers() const;
 
-  /// Sets who is told of messages about usage.
+  /// Sets the handler for usage messages.
   void on_usage_message(std::function<void(std::string_view)> handler) {
     on_usage_message_ = std::move(handler);
   }
 
-  /// Sets what is told to a node that asks for the configuration; empty: nothing that it lacks.
+  /// Sets the handler that answers configuration requests; an empty answer means no newer parts.
   void on_configuration_request(std::function<std::string(const ConfigurationCall&)> handler) {
     configurations_.on_request(std::move(handler));
   }
 
-  /// Asks another node for what is newer than the configuration that the call summarizes.
+  /// Requests everything newer than the configuration that the call summarizes from another node.
   void request_configuration(const ConfigurationCall& call,
                              std::function<void(ConfigurationMessage)> handler);
 
-  /// @return the nodes, and the number that was drawn at the start of this process.
+  /// @return the directory of nodes.
   const PeerDirectory& peers() const { return peers_; }
+  /// @return the random ID of this process start.
   std::uint64_t boot() const { return boot_; }
 
-  /// @return nodes known, this one included.
+  /// @return number of known nodes, including this one.
   std::size_t node_count() const { return peers_.nodes().size(); }
 
-  /// @return the exchange by zones, which is silent in a small fleet.
+  /// @return the exchange by zones, which is inactive in a small fleet.
   const ZoneExchange& zones() const { return zones_; }
 
  private:
@@ -94,7 +94,7 @@
   ZoneExchange zones_;
   ConfigurationExchange configurations_;
   PermitExchange permits_;
-  /// The last message of a peer that tells this node directly.
+  /// The last message that a peer sent to this node directly.
   struct PeerState {
     MessageNumber last_message;
     MonotonicTime received_at{};
@@ -102,7 +102,7 @@
   bool is_store_reader() const;
 
   std::map<NodeId, PeerState> peer_states_;
-  MonotonicTime readers_confirmed_at_{};  ///< When the store last confirmed the state to a reader.
+  MonotonicTime readers_confirmed_at_{};  ///< Last store confirmation of any reader.
   std::unique_ptr<Timer> flush_timer_;
   std::unique_ptr<Periodic> refresh_timer_;
   std::unique_ptr<Timer> pull_timer_;
--- a/src/relay/peer_directory.cpp
+++ b/src/relay/peer_directory.cpp
@@ -10,13 +10,13 @@
 constexpr Duration kRegisterTimeout = std::chrono::milliseconds(1500);
 constexpr Duration kRegisterRetryInterval = std::chrono::seconds(2);
 
-/// A silent store costs nothing here but a late look at new nodes. The wait stays below the history
-/// that the store keeps; a longer one had to list again each time (seen in an incident).
+/// Delayed updates only delay the discovery of new nodes. The wait must stay below the store's
+/// history, or each watch has to list again.
 store::KindWatchSettings watch_settings() {
   store::KindWatchSettings settings;
   settings.wait = std::chrono::seconds(12);
   settings.longest_backoff = std::chrono::seconds(4);
-  // Late news of nodes cost nothing either.
+  // Stale node lists do no harm.
   settings.freshness = store::Freshness::kMayLag;
   settings.confirm_first_list = false;
   return settings;
@@ -75,7 +75,7 @@
       this->settings.kind, this->self.value(), to_json(this->own_record()), kRegisterTimeout,
       [this,
        living = this->alive](const tl::expected<store::StoredObject, store::StoreError>& created) {
-        // A machine keeps its name and address when its process starts again.
+        // On conflict the record exists: name and address survive a restart.
         if (!*living || created || created.error() == store::StoreError::kConflict) return;
         this->register_timer =
             this->runtime.after(kRegisterRetryInterval, [this] { this->register_self(); });
--- a/src/relay/peer_directory.hpp
+++ b/src/relay/peer_directory.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Registers this node in the store and follows the list of the others.
+/// Registers this node in the store and watches the records of the others.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,12 @@
 
 namespace shuntbank::relay {
 
-/// The relay nodes that the store names. A node that is gone for good stays listed: who lives is
-/// told by who is heard.
+/// The relay nodes registered in the store. Dead nodes stay listed; liveness is determined by
+/// received messages.
 class PeerDirectory {
  public:
   /// All references outlive this.
-  /// @param name of this node. @param record of this node.
+  /// @param name name of this node. @param record record of this node.
   /// @param on_change called with the first list and after each change.
   PeerDirectory(Runtime& runtime, store::ObjectStore& store, const NodeId& name,
                 const PeerRecord& record, const PeerDirectorySettings& settings,
@@ -28,14 +28,14 @@
   PeerDirectory(const PeerDirectory&) = delete;
   PeerDirectory& operator=(const PeerDirectory&) = delete;
 
-  /// @return the nodes known, this one included.
+  /// @return the known nodes, including this one.
   const PeerRecords& nodes() const { return this->records; }
 
   /// @return this node's name and record.
   const NodeId& own_name() const { return this->self; }
   const PeerRecord& own_record() const { return this->records.at(this->self); }
 
-  /// @return other nodes known.
+  /// @return number of other known nodes.
   std::size_t peer_count() const { return this->records.size() - 1; }
 
   /// @return a node's record, or null.
@@ -44,8 +44,8 @@
   /// @return the addresses of all other nodes.
   std::vector<std::string> addresses() const;
 
-  /// @return those of the own zone; of all others where the zone has none. Large answers are asked
-  /// of them: bytes between zones are dear.
+  /// @return the addresses of the other nodes in this zone, or of all others if there are none.
+  /// Used for large transfers, as traffic between zones is expensive.
   std::vector<std::string> nearby_addresses() const;
 
   /// @return whether another node of that name is listed.
--- a/src/relay/relay_settings.hpp
+++ b/src/relay/relay_settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Settings and tunables of a relay node, in one place.
+/// Settings of a relay node.
 #pragma once
 
 #include <string>
@@ -17,70 +17,66 @@
 
 namespace shuntbank::relay {
 
-/// A holder that dies is replaced within this and one reading of a standby, 6.2 s; then what the
-/// fleet has counted is gathered in 2 s, and reports of usage are due after 10 s.
+/// A standby replaces a dead holder within this and one read interval, early enough to gather usage
+/// counts for the reports, which are due after 10 s.
 constexpr Duration kLeaseDuration = std::chrono::seconds(5);
 
-/// With the tick of 400 ms a renewal each 1.2 s. Three fit into what a lease lasts, since one whose
-/// answer was lost takes a reading more to settle.
+/// With a tick of 400 ms the lease is renewed every 1.2 s: three attempts within its duration, plus
+/// a read after a lost answer.
 constexpr Duration kLeaseRenewInterval = std::chrono::milliseconds(1100);
 
-/// A holder stops so long before its lease ends: more than half a renewal, for clocks that run at
-/// different speeds and a call that is on its way.
+/// A holder stops acting this long before its lease ends, to allow for clock drift and calls in
+/// flight.
 constexpr Duration kLeaseSafetyMargin = std::chrono::milliseconds(700);
 
-/// The lease of the node that acts for the whole fleet.
+/// Settings of the lease held by the node that acts for the whole fleet.
 struct LeaseKeeperSettings {
   LeaseSettings lease{kLeaseDuration, kLeaseRenewInterval, kLeaseSafetyMargin};
-  std::size_t standbys = 3;  ///< Nodes that read the lease as often as its holder renews it.
-  /// Times the number of nodes: how often the others read it, so that their calls do not grow.
+  std::size_t standbys = 3;  ///< Nodes that read the lease at the renewal rate.
+  /// Read interval of all other nodes per node in the fleet, so that the total rate stays constant.
   Duration read_interval_per_node = std::chrono::milliseconds(400);
   Duration tick_interval = std::chrono::milliseconds(400);
   Duration call_timeout = std::chrono::milliseconds(1500);
 };
 
-/// The orders of stages given under the lease.
+/// Settings of the stage orders sent by the lease holder.
 struct RoleCoordinatorSettings {
-  /// A new holder waits so long before its first order, so that orders of two holders never stand
-  /// closer together than this.
+  /// Delay before a new holder's first order, which separates it from orders of the previous
+  /// holder.
   Duration takeover_delay = std::chrono::seconds(3);
   Duration order_timeout = std::chrono::milliseconds(1500);
 };
 
-/// How long the watches of the store wait. The fleet as a whole asks as often in a large fleet as
-/// in a small one; who is deaf learns from the others that something has changed.
+/// Settings of the store watches. Waits grow with the fleet, so that its total call rate stays
+/// constant; nodes that miss a change get a hint from others.
 struct CatalogSettings {
-  bool join_existing =
-      false;  ///< A system that serves: old news are not taken, not even at the start.
-  /// When the store has confirmed its state to no reader for so long, a node reads the latest
-  /// itself. Longer than a reader's wait; with a call after it, well below the time to drain.
+  bool join_existing = false;  ///< Joins a running system; stale reads are not accepted at start.
+  /// A node reads the newest state itself if the store has not confirmed its state to any reader
+  /// for this long. Longer than a reader's wait; with one more call, well below the drain time.
   Duration reader_timeout = std::chrono::milliseconds(4500);
-  /// A node that lacks a configuration which others have seen asks one of them so long after it has
-  /// heard: a store that answers at once has done so by then.
+  /// Delay between a hint of a newer configuration and the first request to a peer, which gives the
+  /// store time to deliver it.
   Duration peer_fetch_delay = std::chrono::milliseconds(50);
-  /// Between two of them, twice as long each time, up to the longest. A configuration reaches a
-  /// zone of 20 nodes in four or five rounds, within the time to have it in force.
+  /// Delay between requests to peers; doubles up to the maximum.
   Duration initial_peer_fetch_backoff = std::chrono::milliseconds(100);
   Duration max_peer_fetch_backoff = std::chrono::milliseconds(700);
-  /// While the store's answer is on its way, a peer's is wanted only where it is much shorter: a
-  /// change of some routes, 5 KB, and not a configuration with 1,450 of them, 232 KB.
+  /// Size limit of a peer's answer, in bytes, while the store's is being received: enough for a
+  /// change of some routes, but not for a whole configuration.
   std::size_t max_peer_answer_while_receiving = 32UL << 10U;
-  /// Longer answers are given to peers one after the other, so far apart that they take this part
-  /// of the node's link: callers come before them.
+  /// Maximum share of this node's link for large answers to peers; callers take precedence.
   double peer_bandwidth_share = 0.33;
-  double link_megabits_per_second = 1000;        ///< Of this machine.
-  std::size_t large_answer_bytes = 64UL << 10U;  ///< In bytes; shorter ones are given at any time.
+  double link_megabits_per_second = 1000;        ///< Link rate of this machine.
+  std::size_t large_answer_bytes = 64UL << 10U;  ///< Smaller answers are not rate-limited.
   Duration wait_per_node = std::chrono::milliseconds(200);
   Duration min_wait = std::chrono::seconds(3);
-  Duration max_wait = std::chrono::seconds(12);  ///< Below the history that stores keep.
-  /// Times the number of nodes: how long changes of engines are gathered behind a batch of them, so
-  /// that the calls of a fleet do not grow with its square while engines are replaced.
+  Duration max_wait = std::chrono::seconds(12);  ///< Must stay below the store's history.
+  /// Per node in the fleet: how long further engine changes are batched after a change, so that the
+  /// total of calls does not grow with the square of the fleet while engines are replaced.
   Duration batch_delay_per_node = std::chrono::milliseconds(15);
   Duration min_batch_delay = std::chrono::milliseconds(300);
-  Duration max_batch_delay = std::chrono::milliseconds(600);  ///< Well below the time to drain.
-  /// Times the number of nodes: the longest pause between calls of a node that fail, so that the
-  /// calls of a fleet do not grow while the store is down. Readers keep to the shortest: they tell
-  /// the others when it is back.
+  Duration max_batch_delay = std::chrono::milliseconds(600);  ///< Well below the drain time.
+  /// Per node in the fleet: maximum backoff between failing calls, so that the total rate stays
+  /// constant while the store is down. Store readers use the minimum to detect recovery early.
   Duration backoff_limit_per_node = std::chrono::milliseconds(10);
   Duration min_backoff_limit = std::chrono::milliseconds(800);
   Duration max_backoff_limit = std::chrono::seconds(3);
@@ -90,8 +86,8 @@
 struct RelaySettings {
   std::string node;
   ZoneName zone;
-  bool bootstrap = true;          ///< The whole system starts for the first time.
-  LoadExchangeSettings exchange;  ///< Its zone and whether it joins are those of this.
+  bool bootstrap = true;          ///< First start of the whole system.
+  LoadExchangeSettings exchange;  ///< `zone` and `join_existing` are overridden from this struct.
   PlacementSettings placement;
   PrefillSettings prefill;
   RetryBudgetSettings retry_budget;
@@ -100,18 +96,18 @@
   StagePlannerSettings stages;
   UsageSettings usage;
   CapacityCoordinatorSettings capacity;
-  bool engine_ordering_enabled = false;  ///< Whether it is for this system to order engines.
+  bool engine_ordering_enabled = false;
   CatalogSettings catalog;
-  double expected_nodes = 7;  ///< For this node's part of an engine's bound on connections.
+  double expected_nodes = 7;  ///< Divides an engine's connection limit among the nodes.
   Duration connect_timeout = std::chrono::milliseconds(600);
-  Duration retry_after = std::chrono::milliseconds(250);  ///< Told with a refusal.
-  Duration stop_grace = std::chrono::seconds(8);          ///< From the signal to the end.
-  /// New callers have found other nodes by then: readiness is asked each second, and two misses
-  /// count. A request taken later could outlast the grace.
+  Duration retry_after = std::chrono::milliseconds(250);  ///< Sent with rejections.
+  Duration stop_grace = std::chrono::seconds(8);          ///< From the signal to process exit.
+  /// Long enough for two failed readiness probes, sent every second, to divert new callers.
+  /// Requests accepted later could exceed the grace period.
   Duration stop_listening_after = std::chrono::milliseconds(2600);
 };
 
-/// @return the seconds after which a refused caller may come again, as refusals tell them.
+/// @return the wait in seconds, formatted for rejections.
 std::string retry_after_text(Duration wait);
 
 }  // namespace shuntbank::relay
--- a/src/relay/usage_exchange.cpp
+++ b/src/relay/usage_exchange.cpp
@@ -106,7 +106,7 @@
   if (!this->reporter.empty()) this->send_counts(false);
 }
 
-/// The reporter, and the first few nodes in the order in which they stand by.
+/// The reporter and its first standbys.
 std::vector<NodeId> UsageExchange::recipients() const {
   std::vector<std::pair<std::uint64_t, NodeId>> order;
   for (const auto& [name, record] : this->peers.nodes()) {
--- a/src/relay/usage_exchange.hpp
+++ b/src/relay/usage_exchange.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Gathers what the nodes have counted of the tenants' usage at the node that reports it, and has
-/// the nodes agree on true time on the way. What nodes tell is copied to those that would take the
-/// report over, so that little is lost with the one that makes it.
+/// Collects the nodes' usage counts at the node that reports them and synchronizes the nodes'
+/// clocks with the same messages. Counts are also sent to standbys of the reporter, which limits
+/// the loss when it fails.
 #pragma once
 
 #include <memory>
@@ -20,37 +20,37 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node.
+/// One node's side of the usage exchange.
 class UsageExchange {
  public:
   /// All references outlive this.
-  /// @param boot drawn at the start of the process.
-  /// @param first_start whether the whole system starts: nothing ran before.
+  /// @param boot random ID of this process start.
+  /// @param bootstrap whether the whole system starts, so that no earlier usage exists.
   UsageExchange(Runtime& runtime, PeerTransport& transport, const PeerDirectory& peers,
                 std::uint64_t boot, bool bootstrap, const UsageSettings& settings);
 
-  /// A request of the tenant has begun to run at an engine.
+  /// Counts a request of the tenant that has started to run at an engine.
   void on_request_started(const TenantName& tenant);
 
-  /// A message of another node about usage.
+  /// Handles a usage message of another node.
   void on_message(std::string_view bytes);
 
-  /// Asks all nodes for what they have counted: this one reports it.
+  /// Requests the counts of all nodes and makes this node the reporter.
   void poll_nodes();
 
-  /// Tells the reporter at once: the process is to end.
+  /// Sends the counts to the reporter immediately, before the process exits.
   void send_final_counts();
 
   const usage::UsageLedger& ledger() const { return this->usage_ledger; }
 
-  /// @return requests that could not be counted, since too many began at once.
+  /// @return requests that were not counted because too many started at once.
   std::uint64_t dropped_requests() const { return this->counter.left_out(); }
   const usage::WindowClock& window_clock() const { return this->clock; }
 
-  /// @return true time as far as this node knows, in milliseconds since the start of 1970.
+  /// @return this node's estimate of true time, in Unix milliseconds.
   usage::UnixMs agreed_now() const;
 
-  /// @return when this process began to count, by true time.
+  /// @return true time at which this process started counting.
   usage::UnixMs counting_since() const;
 
  private:
@@ -73,7 +73,7 @@
   usage::TrueTime true_time;
   usage::UsageCounter counter;
   usage::UsageLedger usage_ledger;
-  NodeId reporter;  ///< Whom this node tells; empty while nobody has asked.
+  NodeId reporter;  ///< Receiver of the counts; empty until the first poll.
   std::uint64_t reporter_boot = 0;
   std::uint64_t send_sequence = 0;
   std::unique_ptr<Periodic> clock_tick;
--- a/src/relay/usage_reporter.cpp
+++ b/src/relay/usage_reporter.cpp
@@ -16,7 +16,7 @@
   return {{"window", report.window}, {"counts", std::move(counts)}};
 }
 
-/// @throw json::exception when the object is none of this product's.
+/// @throw json::exception when the object is malformed.
 UsageReport report_from(const json& content) {
   UsageReport report;
   report.window = content.at("window").get<usage::WindowNumber>();
@@ -64,13 +64,13 @@
     this->exchange.poll_nodes();
   }
   if (this->lease.held_for() < this->settings.takeover_delay) {
-    // What was known of the store is from an earlier time as the holder.
+    // Cached store state is stale after a change of holder.
     this->slots.clear();
     this->windows.clear();
     return;
   }
   this->update_windows();
-  // Steps end windows, which changes the map only at the next call.
+  // Ended windows stay in the map until the next tick, so iterators remain valid.
   for (auto& [number, window] : this->windows) {
     if (!window.call_pending) this->advance(number, window);
   }
@@ -98,7 +98,7 @@
   }
 }
 
-/// Takes what has been counted, once all have told or the report would be late.
+/// Closes the window once all nodes have reported or the wait limit is reached.
 void UsageReporter::close(usage::WindowNumber number, Window& window) {
   const MonotonicTime now = this->runtime.now();
   const usage::UsageLedger& ledger = this->exchange.ledger();
@@ -158,7 +158,7 @@
   this->clear_pending(number);
 }
 
-/// Only one report of a window is ever written: under the revision of what was there before.
+/// Writes only if the slot's revision is unchanged, so that a window has at most one report.
 void UsageReporter::write_slot(usage::WindowNumber number, const Window& window) {
   const std::string name = this->slot_name(number);
   const std::uint64_t revision = this->slots[name].revision;
@@ -167,7 +167,7 @@
                   name](const tl::expected<store::StoredObject, store::StoreError>& result) {
     if (!*living) return;
     if (result) return this->on_slot(number, *result);
-    // It may have been written, by this node or another: the slot is read again.
+    // The slot may have been written by this or another node; read it again.
     if (result.error() != store::StoreError::kNotDone) this->slots.erase(name);
     this->clear_pending(number);
   };
@@ -202,7 +202,7 @@
             {{"window", number},
              {"outcome", to_text(outcome)},
              {"since_end_ms", this->ms_since_end(number)}});
-  // A newer holder has reported: its fence was seen.
+  // A newer holder with a higher fence has reported.
   if (outcome == DutyOutcome::kRefused) return this->lease.resign();
   if (outcome == DutyOutcome::kDone) this->finish(number, "reported");
 }
--- a/src/relay/usage_reporter.hpp
+++ b/src/relay/usage_reporter.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Reports the tenants' usage, window by window, while this node holds the lease. What is reported
-/// of a window is written to the store before it is sent and sent only as it stands there: whoever
-/// comes next, or gets no answer, repeats it to the letter.
+/// Reports the tenants' usage per window while this node holds the lease. A report is recorded in
+/// the store before it is sent, and only the recorded report is sent, so that retries and later
+/// holders repeat it exactly.
 #pragma once
 
 #include <map>
@@ -19,10 +19,10 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node.
+/// One node's side of usage reporting.
 class UsageReporter {
  public:
-  /// All references outlive this. @param machine the name that the reports bear.
+  /// All references outlive this. @param machine name of this machine in the reports.
   UsageReporter(Runtime& runtime, store::ObjectStore& store, LeaseKeeper& lease,
                 DutyService& service, UsageExchange& exchange, RelayMetrics& metrics,
                 const std::string& machine, const UsageSettings& settings);
@@ -31,14 +31,14 @@
   UsageReporter& operator=(const UsageReporter&) = delete;
 
  private:
-  /// How far a window has come.
+  /// Processing state of a window.
   enum class WindowState { kCounting, kRecording, kSending, kEnded };
   struct Window {
     WindowState state = WindowState::kCounting;
-    bool call_pending = false;  ///< A call is under way.
+    bool call_pending = false;
     UsageReport report;
   };
-  /// What a slot of the store holds.
+  /// Content of a store slot.
   struct Slot {
     std::uint64_t revision = 0;  ///< 0: no object yet.
     usage::WindowNumber window = 0;
--- a/src/relay/usage_settings.hpp
+++ b/src/relay/usage_settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tunables of the report of usage, in one place.
+/// Settings of usage reporting.
 #pragma once
 
 #include <string>
@@ -10,28 +10,28 @@
 
 namespace shuntbank::relay {
 
-/// How usage is counted, gathered and reported.
+/// Settings of how usage is counted, collected and reported.
 struct UsageSettings {
-  Duration window_length = Duration::zero();  ///< As the operator says; zero: nothing is reported.
-  Duration report_deadline =
-      std::chrono::seconds(10);  ///< After a window's end: when its report is due.
-  /// Between two questions of the reporter. What a node has counted since is lost with its machine.
+  Duration window_length = Duration::zero();            ///< Set by the operator; zero: no reports.
+  Duration report_deadline = std::chrono::seconds(10);  ///< After a window's end.
+  /// Interval at which the reporter polls the nodes. Counts since the last poll are lost if a
+  /// machine fails.
   Duration poll_interval = std::chrono::seconds(1);
-  /// Nodes that are told besides the reporter: those that stand by for it.
+  /// Number of standbys that receive counts in addition to the reporter.
   std::size_t backup_nodes = 2;
-  /// Beginnings are remembered for so long: a report can still be made that much later.
+  /// How long request starts are retained; limits how late a report can be made.
   Duration retention = std::chrono::seconds(30);
-  /// A window is told again for so long after its end. Three questions: two may be lost.
+  /// How long the counts of a window are resent after its end; covers three polls.
   Duration resend_period = std::chrono::seconds(3);
-  /// The answer of a plain request comes so much later than the request began to run.
+  /// Maximum delay between the start of a request and its counting.
   Duration counting_lag = std::chrono::milliseconds(250);
-  /// A new reporter waits so long before its first report: two questions are answered by then.
+  /// Delay before a new reporter's first report; covers two polls.
   Duration takeover_delay = std::chrono::milliseconds(2200);
-  /// Of `late`: when the reporter waits no longer for nodes that do not tell.
+  /// Fraction of `report_deadline` after which the reporter stops waiting for silent nodes.
   double wait_fraction = 0.6;
   Duration call_timeout = std::chrono::milliseconds(1500);
-  std::string record_kind = "shuntbank-usage";  ///< Of the objects that hold what is reported.
-  /// Objects in turn, each for every so manieth window. More windows than are ever open at once.
+  std::string record_kind = "shuntbank-usage";  ///< Store kind of the recorded reports.
+  /// Number of store objects that windows use in rotation; exceeds the number of open windows.
   std::uint64_t record_slots = 12;
   usage::TrueTimeSettings true_time;
 };
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -9,8 +9,8 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Own messages that are remembered, to be taken out of the sums that hold them. A sum is a few
-/// hundred milliseconds old at most, and a message is sent every 15 ms at most.
+/// Sent loads kept to subtract this node's share from received sums. Covers the maximum age of a
+/// sum at one message per 15 ms.
 constexpr std::size_t kMaxSentLoads = 128;
 
 LoadByKey by_key(const std::map<EngineId, PeerLoad>& load) {
@@ -76,12 +76,12 @@
   });
 }
 
-/// A collector sums up as often as its machine bears the messages; the others only look whether
-/// theirs is silent.
+/// A collector's interval depends on its machine's capacity; other nodes only check for a silent
+/// collector.
 Duration ZoneExchange::interval() const {
   if (this->collector.idle()) return this->settings.max_collect_interval;
   const double capacity = this->peers.own_record().capacity;
-  // A machine may tell no capacity.
+  // The capacity may be unknown (0).
   const double messages_per_second = std::max(1.0, this->settings.messages_per_core * capacity);
   const double seconds = static_cast<double>(this->view_messages) / messages_per_second;
   return std::clamp(from_seconds(seconds), this->settings.min_collect_interval,
@@ -125,7 +125,7 @@
 }
 
 void ZoneExchange::on_digest(std::string_view bytes) {
-  if (this->collector.idle()) return;  // Nobody here to hand it on to.
+  if (this->collector.idle()) return;  // No members to forward it to.
   auto digest = decode_digest(bytes);
   if (!digest) return log_malformed_message("digest", digest.error());
   if (!this->peers.is_peer(digest->collector) || digest->zone == this->zone) return;
@@ -173,8 +173,8 @@
   news.append(more);
 }
 
-/// A change waits for the sum of its own zone and then for that of the reader's: what is seen is up
-/// to two sums old before the next one comes.
+/// A change waits for the sum of its own zone and then for that of the receiver's, so a view is up
+/// to two intervals old.
 void ZoneExchange::record_view(MonotonicTime now) {
   const Duration elapsed =
       std::min(now - this->view_received_at, this->settings.max_collect_interval);
@@ -255,7 +255,7 @@
   if (this->view_request_handler) this->view_request_handler();
 }
 
-/// The choice for the other zones begins anew: silence from before means nothing.
+/// Resets the choice of collectors in other zones, as earlier silence is not significant.
 void ZoneExchange::begin_collecting() {
   log_event(LogArea::kControl, LogLevel::kInfo, "collecting", {{"zone", this->zone.value()}});
   this->other_zones.clear();
@@ -273,7 +273,7 @@
 
   EngineNews news = std::exchange(this->zone_news, {});
   news.append(std::exchange(this->other_news, {}));
-  // The zone's second collector knows all that the first does, and is asked by nobody.
+  // The zone's second collector usually has no subscribers.
   const auto subscribers = this->collector.subscribers();
   this->view_messages = 0;
   const bool own_source = this->choice.source() == this->self;
@@ -296,7 +296,7 @@
   return digest;
 }
 
-/// Two collectors of each other zone, and those that are heard from there.
+/// Sends to the selected collectors of each other zone and to those recently heard from.
 void ZoneExchange::send_to_zones(MonotonicTime now, const LoadDigest& sum) {
   if (this->other_zones.empty()) return;
   const auto parts = encode_parts(sum);
@@ -323,7 +323,7 @@
   }
 }
 
-/// A collector that listens to itself needs no messages.
+/// Applies the sum locally if this node is its own collector.
 void ZoneExchange::apply_own_sum(MonotonicTime now, const LoadDigest& sum) {
   this->choice.on_view(now, this->self);
   this->record_view(now);
--- a/src/relay/zone_exchange.hpp
+++ b/src/relay/zone_exchange.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The exchange of load in a large fleet: the nodes of a zone tell two collectors of the zone,
-/// these tell the sum to the collectors of the other zones, and send the sum of all zones back.
-/// What a node sends and reads for it does not grow with the number of nodes.
+/// Load exchange in a large fleet. The nodes of a zone send their load to two collectors, which
+/// exchange sums with the collectors of other zones and send the fleet-wide sum back. The traffic
+/// of a node does not grow with the number of nodes.
 #pragma once
 
 #include <deque>
@@ -22,7 +22,7 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node in it, as member of a zone and, when others tell it, as collector.
+/// One node's side of the exchange: a member of its zone and, if others report to it, a collector.
 class ZoneExchange {
  public:
   /// All references outlive this.
@@ -30,47 +30,47 @@
                const PeerDirectory& peers, std::uint64_t boot,
                const ZoneExchangeSettings& settings);
 
-  /// Begins or goes on with the nodes that are known now.
+  /// Starts the exchange, or updates it to the currently known nodes.
   void start();
 
-  /// Goes back to silence.
+  /// Stops sending and collecting.
   void stop();
 
-  /// Tells the collectors all that this node has under way.
+  /// Sends this node's load to the collectors.
   void send_load(LoadMessage message);
 
-  /// A node of the zone has told this one.
+  /// Handles the load of a node of this zone.
   void on_member_load(const LoadMessage& message);
 
-  /// A digest or a view has come.
+  /// Handle a digest of another zone's collector, or a view from this zone's.
   void on_digest(std::string_view bytes);
   void on_view(std::string_view bytes);
 
-  /// Sets who is told what, while sums come: of changes of the store that others have seen, and
-  /// that this node's load is to be told at once, since a collector is asked for the view.
+  /// Sets the handlers for store revisions that others report, and for sending this node's load
+  /// immediately to request a view from a collector.
   void connect(std::function<void(const CatalogRevisions&)> on_revisions,
                std::function<void()> on_view_request) {
     this->revision_handler = std::move(on_revisions);
     this->view_request_handler = std::move(on_view_request);
   }
 
-  /// @return whether this node collects for others.
+  /// @return whether this node acts as a collector.
   bool collecting() const { return this->running && !this->collector.idle(); }
 
-  /// @return whether this node collects for others and is one of those that should.
+  /// @return whether this node acts as a collector and is ranked as one.
   bool is_designated_collector() const;
 
-  /// @return the collector that this node listens to, if it is another node.
+  /// @return the collector that sends views to this node; null if it is this node or unknown.
   const PeerRecord* source() const;
 
-  /// @return when the store last confirmed its state to a node that reads it for others, as far as
-  /// this node has heard; the epoch of the clock if never.
+  /// @return the last known time at which the store confirmed its state to a store reader; the
+  /// epoch of the clock if never.
   MonotonicTime readers_confirmed_at() const { return this->store_confirmed_at; }
 
-  /// @return nodes whose load is in the last view.
+  /// @return number of nodes in the last view.
   std::size_t view_node_count() const { return this->view_nodes; }
 
-  /// @return when the last view came, or the epoch of the clock.
+  /// @return when the last view was received, or the epoch of the clock.
   MonotonicTime last_view_at() const { return this->view_received_at; }
 
  private:
@@ -94,7 +94,7 @@
   void update_store_confirmation(std::uint32_t store_age_ms);
   void send(const NodeId& node, std::string_view bytes);
 
-  /// What this node told with one message.
+  /// The load that this node sent with one message.
   struct SentLoad {
     std::uint64_t sequence = 0;
     LoadByKey load;
@@ -113,19 +113,18 @@
   std::function<void()> view_request_handler;
 
   CollectorChoice choice;
-  std::map<ZoneName, CollectorChoice> other_zones;  ///< Whom this node tells there as collector.
+  std::map<ZoneName, CollectorChoice> other_zones;  ///< Choice of collectors per other zone.
   LoadCollector collector;
   std::unique_ptr<Timer> timer;
   bool running = false;
-  std::size_t view_messages = 0;  ///< That the last sum took to be sent to all members.
+  std::size_t view_messages = 0;  ///< Messages sent to members with the last sum.
   std::deque<SentLoad> sent_loads;
   std::uint64_t sums_sent = 0;
-  EngineNews zone_news;   ///< Of this zone's nodes, since the last sum.
-  EngineNews other_news;  ///< Of the other zones, since the last sum.
+  EngineNews zone_news;   ///< From this zone since the last sum.
+  EngineNews other_news;  ///< From other zones since the last sum.
   CatalogRevisions seen_revisions;
-  MonotonicTime
-      store_confirmed_at{};  ///< The last confirmation by the store that a reader told of.
-  std::map<NodeId, MessageNumber> last_view_numbers;  ///< The last one of each collector.
+  MonotonicTime store_confirmed_at{};                 ///< Last store confirmation of any reader.
+  std::map<NodeId, MessageNumber> last_view_numbers;  ///< Last view of each collector.
   std::size_t view_nodes = 0;
   MonotonicTime view_received_at{};
 };
--- a/tests/relay/catalog_slow_link_test.cpp
+++ b/tests/relay/catalog_slow_link_test.cpp
@@ -1,14 +1,5 @@
-/// Seen: for 24 seconds, to the end of the day, nodes served by a configuration that had been
-/// replaced; they answered 404 on routes that were there, and their calls to engines came too late.
-/// How it came about: a configuration of 245 KB, 0.2 s on an idle link of 10 Mbit/s and more beside
-/// callers (here 0.4 s), and a new version about each second. Other nodes told of each at once.
-/// Cause: a node that had missed two versions asked for all that came after its own. That answer
-/// took longer than a node waits for what others have seen, so that it was given up on its way and
-/// asked for again, with one version more. Nothing ended this, and the answers that were given up
-/// went on filling the link that callers use.
-/// Proof: the links of just these nodes were full to the last byte while their processors were idle
-/// and their calls to the store succeeded; and their revision never moved, on the links of this
-/// test as there.
+/// Guards against a node on a slow link that stays on an old configuration: it gives up answers in
+/// flight, requests them again, and the abandoned transfers fill the link.
 #include <criterion/criterion.h>
 
 #include "relay/catalog.hpp"
@@ -22,7 +13,7 @@
 
 constexpr std::size_t kLinkBytesPerSecond = 1'250'000;
 
-/// A node with a slow link among others that read the store at once and tell it of each change.
+/// A node on a slow link. Its peers see each change immediately and send hints.
 struct SlowLinkFixture {
   explicit SlowLinkFixture(std::size_t configuration_bytes = 500'000) {
     store.object_bytes = configuration_bytes;
@@ -32,10 +23,10 @@
     advance(3s);
   }
 
-  /// The operator writes a new version.
+  /// Writes a new version to the store.
   void publish() { store.put("routes", "main", {{"version", ++newest_version}}); }
 
-  /// Lets time pass; the others tell how far they are ten times a second.
+  /// Advances the clock; peers send hints ten times per second.
   void advance(Duration duration) {
     const MonotonicTime until = runtime.now() + duration;
     while (runtime.now() < until) {
@@ -45,7 +36,7 @@
     }
   }
 
-  /// New versions, one each `gap`.
+  /// Publishes one version per `gap`.
   void publish_every(int count, Duration gap) {
     for (int i = 0; i < count; ++i) {
       publish();
@@ -53,7 +44,7 @@
     }
   }
 
-  /// New versions that the store's answers to this node do not tell of.
+  /// Publishes versions while the store's answers to this node are lost.
   void publish_missed(int count) {
     peers_send_hints = false;
     store.deaf = true;
@@ -104,22 +95,22 @@
 }
 
 Test(catalog_slow_link, keeps_up_when_versions_exceed_the_link_rate) {
-  // Versions that take 0.4 s each, one each 0.2 s: all of them would take twice the time they come.
+  // Each version takes 0.4 s to transfer, and a new one is published every 0.2 s.
   for (const bool peers_send_hints : {true, false}) {
     SlowLinkFixture site;
     site.peers_send_hints = peers_send_hints;
     const std::size_t before = site.link.total_bytes();
     site.publish_every(25, 200ms);
     const std::size_t transferred = site.link.total_bytes() - before;
-    cr_assert_leq(transferred, 5 * kLinkBytesPerSecond * 6 / 10, "callers share the link: %zu",
-                  transferred);
+    cr_assert_leq(transferred, 5 * kLinkBytesPerSecond * 6 / 10,
+                  "catalog traffic leaves no bandwidth for callers: %zu", transferred);
     site.advance(2s);
-    cr_assert_eq(site.version(), site.newest_version, "others tell: %d", peers_send_hints);
+    cr_assert_eq(site.version(), site.newest_version, "peers send hints: %d", peers_send_hints);
   }
 }
 
 Test(catalog_slow_link, accepts_a_store_response_slower_than_the_hint_timeout) {
-  // Its calls were given up after 0.5 s each time, and it answers after 2.
+  // The hint timeout is 0.5 s; the store answers after 2 s.
   SlowLinkFixture site;
   site.peers_send_hints = true;
   site.store.answer_delay = 2s;
@@ -133,20 +124,18 @@
   const std::size_t before = site.link.total_bytes();
   site.publish();
   site.advance(100ms);
-  cr_assert_gt(site.link.total_bytes(), before, "the store's answer is on its way");
+  cr_assert_gt(site.link.total_bytes(), before, "the store's answer is in flight");
   site.catalog->apply_peer_configuration(
       {site.store.revision(), RelayFixture::configuration(site.newest_version)});
   site.advance(3s);
   cr_assert_leq(site.link.total_bytes() - before, site.store.object_bytes / 3);
   site.publish();
   site.advance(2s);
-  cr_assert_eq(site.version(), site.newest_version, "it goes on watching");
+  cr_assert_eq(site.version(), site.newest_version, "the watch continues");
 }
 
 Test(catalog_slow_link, lists_once_after_store_recovery_despite_hints) {
-  // Seen: a node that the store had turned away asked it for the whole configuration each 60 ms
-  // once it was back, since others told of changes, and took none of the answers: the link was full
-  // to the end of the day. Cause: a hint found the list that was under way to be no call.
+  // A hint must not restart a list in flight: repeated lists would saturate the link.
   SlowLinkFixture site;
   site.store.down = true;
   site.advance(6s);
@@ -163,9 +152,7 @@
 }
 
 Test(catalog_slow_link, accepts_lists_that_begin_after_the_list_timeout) {
-  // Seen in a soak: relays stayed at one version for a minute, while each list of the newest was
-  // given up after 1.5 s without a byte, and asked for again. Cause: the same as with hints, at the
-  // time limit of a list; the store was busy with large answers, and later than that.
+  // The list timeout must grow on retries, or a slow store's answers are abandoned forever.
   SlowLinkFixture site;
   site.store.answer_delay = 2s;
   site.publish_missed(1);
--- a/tests/relay/catalog_test.cpp
+++ b/tests/relay/catalog_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A catalog over a store whose lagging answers stand still.
+/// A catalog over a store whose stale reads stay at version 3.
 struct CatalogFixture {
   explicit CatalogFixture(bool join_existing = false) {
     settings.join_existing = join_existing;
@@ -36,7 +36,7 @@
 
 Test(catalog, ignores_stale_configuration_when_joining) {
   CatalogFixture bootstrapping(false);
-  cr_assert_eq(bootstrapping.version(), 3, "a whole system starts: nothing serves yet");
+  cr_assert_eq(bootstrapping.version(), 3, "a bootstrapping system accepts stale reads");
   CatalogFixture joining(true);
   cr_assert_eq(joining.version(), 4);
 }
@@ -58,7 +58,7 @@
     fixture.runtime.advance(250ms);
   }
   const MonotonicTime last_heard = fixture.runtime.now();
-  cr_assert_eq(fixture.version(), 3, "readers are heard, but nobody has told of the change");
+  cr_assert_eq(fixture.version(), 3, "readers are alive, but no peer has sent a hint");
   for (int i = 0; i < 20; ++i) {
     fixture.catalog->set_readers({false, last_heard});
     fixture.runtime.advance(250ms);
@@ -83,11 +83,11 @@
   seen.configuration = fixture.store.revision() + 5;
   fixture.catalog->hint(seen);
   fixture.runtime.advance(fixture.settings.peer_fetch_delay - 1ms);
-  cr_assert_eq(fetches, 0, "a store that answers at once comes first");
+  cr_assert_eq(fetches, 0, "the store gets time to deliver the version first");
   fixture.runtime.advance(1ms);
   cr_assert_eq(fetches, 1);
   fixture.runtime.advance(3s);
-  cr_assert_geq(fetches, 3, "until somebody has it");
+  cr_assert_geq(fetches, 3, "retries until a peer has the version");
   ConfigurationMessage message{seen.configuration, RelayFixture::configuration(9)};
   message.configuration.tenants.emplace();
   fixture.catalog->apply_peer_configuration(message);
@@ -97,7 +97,7 @@
   fixture.runtime.advance(3s);
   cr_assert_eq(fetches, before);
   cr_assert_not(fixture.catalog->configuration_for_peer({{}, kMaxConfigurationMessage}).empty(),
-                "it can hand it on");
+                "the node can serve the version to peers");
 }
 
 Test(catalog, rejects_older_or_invalid_configuration_from_a_peer) {
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-/// Nobody has a configuration; who is asked for one is noted.
+/// Records which nodes are asked for a configuration; all of them answer that they have none.
 void record_requested_nodes(ExchangingFleet& fleet, std::set<std::size_t>& requested) {
   for (std::size_t i = 0; i < fleet.exchanges.size(); ++i) {
     fleet.exchanges[i]->on_configuration_request([&requested, i](const ConfigurationCall&) {
@@ -32,7 +32,7 @@
   }
 }
 
-/// Of the six nodes of a fleet only the fifth has the newest configuration.
+/// Gives the fifth of six nodes a newer configuration than the others.
 void give_fifth_node_newest_revision(ExchangingFleet& fleet) {
   for (std::size_t i = 0; i < 6; ++i) {
     const std::uint64_t revision = i == 4 ? 9 : 7;
@@ -47,7 +47,7 @@
 }  // namespace
 
 Test(load_exchange, propagates_load_to_all_sixty_nodes) {
-  // Each of 60 nodes heard 16 others and took their sum for the whole load.
+  // Guards against views that cover only part of the fleet.
   ExchangingFleet fleet(60);
   fleet.runtime.advance(3s);
   for (std::size_t i = 0; i < 60; ++i) fleet.send_prompt(i);
@@ -92,7 +92,8 @@
     relay::EngineListener& listener = fleet.sites[1]->node->listener();
     listener.on_head(EngineId("p1"), 503, {{"rest-seconds", "3"}});
     fleet.runtime.advance(300ms);
-    cr_assert(fleet.engine(0).takes_requests(fleet.runtime.now()), "its wait is for one node");
+    cr_assert(fleet.engine(0).takes_requests(fleet.runtime.now()),
+              "a cooldown applies to one node only");
     listener.on_head(EngineId("p1"), 200, {{"leaving", "1"}});
     fleet.runtime.advance(300ms);
     for (std::size_t i = 0; i < nodes; ++i) {
@@ -126,12 +127,12 @@
     for (std::size_t i = 0; i < 60; ++i) fleet.send_prompt(i);
     fleet.runtime.advance(10ms);
   }
-  // Two collectors of five zones tell two of each other zone every 30 ms.
+  // Two collectors of each of five zones send to two of each other zone every 30 ms.
   cr_assert_leq(fleet.network.cross_zone_messages, 35 * 5 * 2 * 4 * 2);
 }
 
 Test(load_exchange, collects_less_often_on_small_machines) {
-  // A machine that tells no capacity divided by nothing, and summed up as often as a large one.
+  // Guards against a division by zero when the capacity is unknown.
   for (const double capacity : {0.0, 0.02, 1.0}) {
     ExchangingFleet fleet(0);
     for (int i = 0; i < 60; ++i) {
@@ -207,7 +208,7 @@
 }
 
 Test(load_exchange, requests_configuration_from_collector_own_zone_and_other_zones) {
-  // A zone that the store turns away as a whole has it from nobody of its own.
+  // If the store rejects a whole zone, only other zones have the configuration.
   ExchangingFleet fleet(60, 5);
   fleet.runtime.advance(4s);
   std::set<std::size_t> requested;
@@ -241,7 +242,7 @@
 }
 
 Test(load_exchange, does_not_request_configuration_from_silent_nodes) {
-  // The first to have it may lose power at once; a connection to it would hang.
+  // A connection to a failed node would hang.
   ExchangingFleet fleet(6);
   give_fifth_node_newest_revision(fleet);
   fleet.runtime.advance(5s);
--- a/tests/relay/support/exchanging_fleet.hpp
+++ b/tests/relay/support/exchanging_fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Relay nodes that tell each other what they know, over a network in memory.
+/// Relay nodes that exchange load over an in-memory network.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 
 class MockNetwork;
 
-/// One node's end of a network in memory.
+/// One node's endpoint of an in-memory network.
 class MockTransport : public PeerTransport {
  public:
   MockTransport(MockNetwork& network, std::string address);
@@ -45,10 +45,10 @@
 class MockNetwork {
  public:
   std::map<std::string, MockTransport*> nodes;
-  int cross_zone_messages = 0;  ///< Messages.
+  int cross_zone_messages = 0;
 };
 
-/// Relay nodes on one clock, store and network.
+/// Relay nodes that share a clock, a store and a network.
 struct ExchangingFleet {
   explicit ExchangingFleet(std::size_t nodes, std::size_t zones = 1) {
     for (std::size_t i = 0; i < nodes; ++i) {
@@ -71,13 +71,13 @@
         std::make_unique<relay::QuarantineStore>(this->runtime, this->store, *site.node));
   }
 
-  /// A node sends a prompt of ten tokens to the engine.
+  /// Makes a node send a prompt of ten tokens to the engine.
   void send_prompt(std::size_t node) {
     this->sites[node]->node->engines().on_sent(EngineId("p1"), {10, false});
     this->sites[node]->node->note_load_changed();
   }
 
-  /// @return the nodes that collect now.
+  /// @return the nodes that currently act as collectors.
   std::set<std::size_t> collectors() const {
     std::set<std::size_t> nodes;
     for (std::size_t i = 0; i < this->exchanges.size(); ++i) {
@@ -86,13 +86,13 @@
     return nodes;
   }
 
-  /// From now on nothing reaches the node, and nothing leaves it.
+  /// Stops a node's exchange and removes it from the network.
   void disconnect(std::size_t node) {
     this->network.nodes.erase(this->transports[node]->address);
     this->exchanges[node].reset();
   }
 
-  /// All nodes are killed and start again; what lasts is in the store.
+  /// Restarts all nodes; only the store keeps its state.
   void restart_all(const std::vector<relay::LoadExchangeSettings>& settings) {
     this->quarantines.clear();
     this->exchanges.clear();
--- a/tests/relay/support/slow_link.cpp
+++ b/tests/relay/support/slow_link.cpp
@@ -7,7 +7,6 @@
 namespace shuntbank::testing {
 namespace {
 
-/// Between two steps of the link. Steps a second, for its rate.
 constexpr Duration kTickInterval = std::chrono::milliseconds(10);
 constexpr std::size_t kTicksPerSecond = 100;
 
--- a/tests/relay/support/slow_link.hpp
+++ b/tests/relay/support/slow_link.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A link for tests, over which answers take time by their size.
+/// A simulated link with limited bandwidth.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 
 namespace shuntbank::testing {
 
-/// Carries transfers, which share the link in equal parts.
+/// Divides its bandwidth equally among active transfers.
 class SlowLink {
  public:
   SlowLink(Runtime& runtime, std::size_t bytes_per_second)
       : runtime_(runtime), bytes_per_second_(bytes_per_second) {}
 
-  /// Begins a transfer after `delay`.
-  /// @param on_whole called once all bytes have come, never before this returns.
+  /// Starts a transfer after `delay`.
+  /// @param on_whole called once all bytes are transferred, never before this returns.
   void start_transfer(std::uint64_t id, std::size_t bytes, Duration delay,
                       std::function<void()> on_complete);
 
-  /// Ends a transfer before it is whole.
+  /// Cancels an incomplete transfer.
   void cancel(std::uint64_t id) { transfers_.erase(id); }
 
-  /// @return bytes of a transfer under way that have come.
+  /// @return bytes transferred so far by an active transfer.
   std::size_t transferred(std::uint64_t id) const;
 
-  /// @return bytes that the link has carried in all.
+  /// @return bytes transferred by the link in total.
   std::size_t total_bytes() const { return total_bytes_; }
 
  private:
--- a/tests/relay/usage_reporter_test.cpp
+++ b/tests/relay/usage_reporter_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// One machine's clock: the same monotonic time, and a time of day of its own.
+/// One machine's clock: shared monotonic time with its own time of day.
 class MachineRuntime : public Runtime {
  public:
   explicit MachineRuntime(ManualRuntime& shared) : shared_(shared) {}
@@ -38,7 +38,7 @@
   ManualRuntime& shared_;
 };
 
-/// Takes reports as the service does: under the highest fence, and late ones too.
+/// Accepts reports with the highest fence seen, including delayed ones, like the real service.
 class FakeDutyService : public relay::DutyService {
  public:
   explicit FakeDutyService(Runtime& runtime) : runtime_(runtime) {}
@@ -82,7 +82,7 @@
   Fence highest_ = 0;
 };
 
-/// One machine with its part in the report.
+/// One machine that takes part in usage reporting.
 struct Machine {
   Machine(ManualRuntime& shared, MemoryStore& store, MockNetwork& network, FakeDutyService& duties,
           const std::string& own_name, bool bootstrap, std::int64_t clock_offset_ms = 0)
@@ -126,13 +126,13 @@
                                             "n" + std::to_string(i), bootstrap, clock_offset_ms);
   }
 
-  /// From now on nothing leaves or reaches the machine, which forgets everything.
+  /// Removes the machine from the network and discards its state.
   void kill(std::size_t i) {
     network.nodes.erase(machines[i]->transport.address);
     machines[i].reset();
   }
 
-  /// Lets time pass while each machine has one request of a tenant begin, ten times a second.
+  /// Advances the clock while each machine starts ten requests of a tenant per second.
   void run(Duration duration) {
     for (Duration passed{}; passed < duration; passed += 100ms) {
       for (const auto& machine : machines) {
@@ -156,14 +156,14 @@
     return static_cast<std::size_t>(found - machines.begin());
   }
 
-  /// No window has two reports that differ.
+  /// Fails if a window has reports that differ.
   void assert_one_report_per_window() const {
     for (const auto& [window, reports] : duties.accepted) {
       for (const auto& counts : reports) cr_assert(counts == reports.front(), "window %lu", window);
     }
   }
 
-  /// @return the part of the requests of a window that is missing or too many in its report.
+  /// @return the relative error of a window's reported request count; 1 if there is no report.
   double relative_error(std::int64_t window) const {
     const auto reports = duties.accepted.find(static_cast<usage::WindowNumber>(window));
     if (reports == duties.accepted.end()) return 1;
@@ -195,7 +195,7 @@
 Test(usage_reporter, next_holder_repeats_the_recorded_report) {
   ReportingFleet fleet(5);
   fleet.run(20s);
-  fleet.duties.delay_calls = true;  // The service takes calls, says nothing, and does them later.
+  fleet.duties.delay_calls = true;  // Calls get no answer and are applied later.
   fleet.run(10s);
   const std::size_t first = fleet.holder();
   cr_assert_lt(first, 5);
@@ -208,7 +208,7 @@
   const std::int64_t last = fleet.true_ms() / 5000 - 2;
   for (std::int64_t window = last - 3; window <= last; ++window) {
     cr_assert_lt(fleet.relative_error(window), 0.2,
-                 "only the killed node's last second is missing");
+                 "only the killed node's last second may be missing");
   }
 }
 
@@ -219,7 +219,7 @@
   fleet.run(6s);
   fleet.kill(fleet.holder());
   fleet.run(4s);
-  fleet.duties.apply_delayed();  // Before the new holder has said anything.
+  fleet.duties.apply_delayed();  // Before the new holder's first call.
   fleet.duties.delay_calls = false;
   fleet.run(20s);
   fleet.assert_one_report_per_window();
@@ -240,7 +240,7 @@
 }
 
 Test(usage_reporter, one_third_of_clocks_an_hour_off_does_not_shift_windows) {
-  // The first to take the lease is among them.
+  // The first lease holder is among them.
   ReportingFleet fleet(6, 2, 3'600'000);
   fleet.run(40s);
   const std::int64_t last = fleet.true_ms() / 5000 - 2;
@@ -286,7 +286,7 @@
 Test(usage_reporter, lease_expiry_between_record_and_call_loses_no_window) {
   ReportingFleet fleet(2);
   fleet.run(15s);
-  // Renewals are lost for as long as the lease lasts, so that it lapses at any step of a report.
+  // Fails renewals for the lease duration, so that it expires at any step of a report.
   for (int i = 0; i < 4; ++i) {
     fleet.store.down = true;
     fleet.run(4500ms);
