--- a/src/relay/exchange_settings.hpp
+++ b/src/relay/exchange_settings.hpp
@@ -20,12 +20,13 @@
 
 /// Settings of the exchange by zones.
 struct ZoneExchangeSettings {
-  CollectorChoiceSettings choice;
+  CollectorChoiceSettings collector_selection;
   LoadCollectorSettings collector;
   /// Interval between two sums if the collector's capacity allows it. With an older view more nodes
   /// choose the same engine.
   Duration min_collect_interval = std::chrono::milliseconds(30);
-  Duration max_collect_interval = std::chrono::milliseconds(120);  ///< Below `choice.silence`.
+  /// Must stay below the view timeout of `collector_selection`.
+  Duration max_collect_interval = std::chrono::milliseconds(120);
   /// Messages per second that a collector sends for each core of its machine; about 4% of its CPU.
   double messages_per_core = 4000;
   /// Maximum number of prompt reads in one sum.
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -19,19 +19,19 @@
   return keyed;
 }
 
-EngineNews news_of(const LoadMessage& message) {
-  EngineNews news;
+EngineNews updates_from(const LoadMessage& message) {
+  EngineNews updates;
   for (const PromptRead& read : message.reads) {
-    news.reads.push_back({engine_key(read.engine), read.parts});
+    updates.reads.push_back({engine_key(read.engine), read.parts});
   }
   for (const EngineTrouble& trouble : message.troubles) {
-    news.troubles.push_back({engine_key(trouble.engine), trouble.stage, trouble.kind});
+    updates.troubles.push_back({engine_key(trouble.engine), trouble.stage, trouble.kind});
   }
-  news.crashes = message.crashes;
-  for (const ToldLimitNews& update : message.limits) {
-    news.limits.push_back({engine_key(update.engine), update.limit});
+  updates.crashes = message.crashes;
+  for (const ToldLimitNews& limit : message.limits) {
+    updates.limits.push_back({engine_key(limit.engine), limit.limit});
   }
-  return news;
+  return updates;
 }
 
 }  // namespace
@@ -47,11 +47,11 @@
       zone(own_peers.own_record().zone),
       boot(own_boot),
       settings(own_settings),
-      choice(own_settings.choice),
+      selector(own_settings.collector_selection),
       collector(own_settings.collector) {}
 
 void ZoneExchange::start() {
-  this->choice.set_order(collector_order(this->peers.nodes(), this->zone));
+  this->selector.set_order(collector_order(this->peers.nodes(), this->zone));
   this->update_zone_rankings();
   if (std::exchange(this->running, true)) return;
   this->schedule();
@@ -61,11 +61,11 @@
 void ZoneExchange::update_zone_rankings() {
   for (const auto& [name, record] : this->peers.nodes()) {
     if (record.zone != this->zone) {
-      this->other_zones.try_emplace(record.zone, this->settings.choice);
+      this->zone_selectors.try_emplace(record.zone, this->settings.collector_selection);
     }
   }
-  for (auto& [name, zone_choice] : this->other_zones) {
-    zone_choice.set_order(collector_order(this->peers.nodes(), name));
+  for (auto& [name, zone_selector] : this->zone_selectors) {
+    zone_selector.set_order(collector_order(this->peers.nodes(), name));
   }
 }
 
@@ -92,7 +92,7 @@
   this->running = false;
   this->timer.reset();
   this->node.engines().set_shared_view_age(Duration::zero());
-  this->choice.set_order({});
+  this->selector.set_order({});
 }
 
 void ZoneExchange::send(const NodeId& name, std::string_view bytes) {
@@ -104,8 +104,8 @@
   this->sent_loads.push_back({message.sequence, by_key(message.load)});
   if (this->sent_loads.size() > kMaxSentLoads) this->sent_loads.pop_front();
   message.to_collector = true;
-  for (const NodeId& name : this->choice.told(this->runtime.now())) {
-    message.wants_view = this->choice.source() == name;
+  for (const NodeId& name : this->selector.told(this->runtime.now())) {
+    message.wants_view = this->selector.source() == name;
     if (name == this->self) {
       this->on_member_load(message);
     } else {
@@ -119,7 +119,7 @@
   if (this->collector.idle()) this->begin_collecting();
   MemberLoad member{{message.boot, message.sequence}, by_key(message.load), message.wants_view};
   if (!this->collector.on_member(this->runtime.now(), message.node, std::move(member))) return;
-  this->append_news(this->zone_news, news_of(message));
+  this->append_updates(this->zone_updates, updates_from(message));
   this->update_revisions(message.seen);
   if (message.store_age_ms) this->update_store_confirmation(*message.store_age_ms);
 }
@@ -133,9 +133,9 @@
   const bool accepted = this->collector.on_zone(
       now,
       {digest->zone, digest->collector, digest->number, digest->nodes, std::move(digest->part)});
-  if (accepted) this->append_news(this->other_news, digest->news);
-  const auto zone_choice = this->other_zones.find(digest->zone);
-  if (zone_choice != this->other_zones.end()) zone_choice->second.on_view(now, digest->collector);
+  if (accepted) this->append_updates(this->other_zone_updates, digest->news);
+  const auto found = this->zone_selectors.find(digest->zone);
+  if (found != this->zone_selectors.end()) found->second.on_view(now, digest->collector);
   this->update_revisions(digest->seen);
   this->update_store_confirmation(digest->store_age_ms);
 }
@@ -150,8 +150,8 @@
   if (!another_part && !digest.number.follows(last)) return;
   last = digest.number;
   const MonotonicTime now = this->runtime.now();
-  this->choice.on_view(now, digest.collector);
-  if (this->choice.source() != digest.collector) return;
+  this->selector.on_view(now, digest.collector);
+  if (this->selector.source() != digest.collector) return;
   if (!another_part) this->record_view(now);
   this->apply_sum(now, digest, view->counted);
   this->update_revisions(digest.seen);
@@ -161,16 +161,16 @@
 void ZoneExchange::apply_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted) {
   this->view_nodes = sum.nodes;
   this->node.engines().on_fleet_load(now, sum.part, this->load_sent_with(counted));
-  this->apply_news(sum.news);
+  this->apply_updates(sum.news);
 }
 
-void ZoneExchange::append_news(EngineNews& news, const EngineNews& more) {
-  if (news.reads.size() + more.reads.size() > this->settings.max_prompt_reads) {
+void ZoneExchange::append_updates(EngineNews& updates, const EngineNews& added) {
+  if (updates.reads.size() + added.reads.size() > this->settings.max_prompt_reads) {
     log_event(LogArea::kControl, LogLevel::kWarning, "news_left_out",
-              {{"reads", more.reads.size()}, {"waiting", news.reads.size()}});
+              {{"reads", added.reads.size()}, {"waiting", updates.reads.size()}});
     return;
   }
-  news.append(more);
+  updates.append(added);
 }
 
 /// A change waits for the sum of its own zone and then for that of the receiver's, so a view is up
@@ -190,18 +190,18 @@
   return found == this->sent_loads.rend() ? empty : found->load;
 }
 
-void ZoneExchange::apply_news(const EngineNews& news) {
-  this->node.quarantine().learn(news.crashes);
+void ZoneExchange::apply_updates(const EngineNews& updates) {
+  this->node.quarantine().learn(updates.crashes);
   EngineDirectory& engines = this->node.engines();
-  for (const KeyedRead& read : news.reads) {
+  for (const KeyedRead& read : updates.reads) {
     const EngineView* engine = engines.find_by_key(read.engine);
     if (engine != nullptr) this->node.learn_prompt_read({engine->record.id, read.parts});
   }
-  for (const KeyedLimit& keyed : news.limits) {
+  for (const KeyedLimit& keyed : updates.limits) {
     const EngineView* engine = engines.find_by_key(keyed.engine);
     if (engine != nullptr) this->node.learn_limit(engine->record.id, keyed.limit);
   }
-  for (const KeyedTrouble& trouble : news.troubles) {
+  for (const KeyedTrouble& trouble : updates.troubles) {
     const EngineView* engine = engines.find_by_key(trouble.engine);
     if (engine == nullptr) continue;
     this->node.listener().on_peer_trouble({engine->record.id, trouble.stage, trouble.kind});
@@ -222,12 +222,12 @@
 
 bool ZoneExchange::is_designated_collector() const {
   if (!this->collecting()) return false;
-  const auto designated = this->choice.told(this->runtime.now());
+  const auto designated = this->selector.told(this->runtime.now());
   return std::find(designated.begin(), designated.end(), this->self) != designated.end();
 }
 
 const PeerRecord* ZoneExchange::source() const {
-  const auto& chosen = this->choice.source();
+  const auto& chosen = this->selector.source();
   if (!chosen || *chosen == this->self) return nullptr;
   return this->peers.find(*chosen);
 }
@@ -239,14 +239,14 @@
 }
 
 void ZoneExchange::check_source() {
-  const auto previous = this->choice.source();
-  const auto silent = this->choice.poll(this->runtime.now());
-  if (this->choice.source() == previous) {
-    if (this->choice.waits(this->runtime.now())) this->request_view();
+  const auto previous = this->selector.source();
+  const auto silent = this->selector.poll(this->runtime.now());
+  if (this->selector.source() == previous) {
+    if (this->selector.waits(this->runtime.now())) this->request_view();
     return;
   }
   log_event(LogArea::kControl, LogLevel::kInfo, "collector_chosen",
-            {{"collector", this->choice.source() ? this->choice.source()->value() : ""},
+            {{"collector", this->selector.source() ? this->selector.source()->value() : ""},
              {"silent", silent ? silent->value() : ""}});
   this->request_view();
 }
@@ -258,7 +258,7 @@
 /// Resets the choice of collectors in other zones, as earlier silence is not significant.
 void ZoneExchange::begin_collecting() {
   log_event(LogArea::kControl, LogLevel::kInfo, "collecting", {{"zone", this->zone.value()}});
-  this->other_zones.clear();
+  this->zone_selectors.clear();
   this->update_zone_rankings();
 }
 
@@ -268,15 +268,15 @@
   LoadDigest zone_sum = this->digest(this->zone);
   zone_sum.nodes = this->collector.zone_nodes();
   zone_sum.part.load = this->collector.zone_load();
-  zone_sum.news = this->zone_news;
+  zone_sum.news = this->zone_updates;
   this->send_to_zones(now, zone_sum);
 
-  EngineNews news = std::exchange(this->zone_news, {});
-  news.append(std::exchange(this->other_news, {}));
+  EngineNews news = std::exchange(this->zone_updates, {});
+  news.append(std::exchange(this->other_zone_updates, {}));
   // The zone's second collector usually has no subscribers.
   const auto subscribers = this->collector.subscribers();
   this->view_messages = 0;
-  const bool own_source = this->choice.source() == this->self;
+  const bool own_source = this->selector.source() == this->self;
   if (subscribers.empty() && !own_source) return;
   LoadDigest fleet_sum = this->digest(ZoneName());
   fleet_sum.nodes = this->collector.fleet_nodes(now);
@@ -298,11 +298,11 @@
 
 /// Sends to the selected collectors of each other zone and to those recently heard from.
 void ZoneExchange::send_to_zones(MonotonicTime now, const LoadDigest& sum) {
-  if (this->other_zones.empty()) return;
+  if (this->zone_selectors.empty()) return;
   const auto parts = encode_parts(sum);
-  for (auto& [name, zone_choice] : this->other_zones) {
-    zone_choice.poll(now);
-    const std::vector<NodeId> selected = zone_choice.told(now);
+  for (auto& [name, zone_selector] : this->zone_selectors) {
+    zone_selector.poll(now);
+    const std::vector<NodeId> selected = zone_selector.told(now);
     std::set<NodeId> targets(selected.begin(), selected.end());
     for (NodeId& recent : this->collector.heard_of(now, name)) targets.insert(std::move(recent));
     for (const NodeId& target : targets) {
@@ -325,7 +325,7 @@
 
 /// Applies the sum locally if this node is its own collector.
 void ZoneExchange::apply_own_sum(MonotonicTime now, const LoadDigest& sum) {
-  this->choice.on_view(now, this->self);
+  this->selector.on_view(now, this->self);
   this->record_view(now);
   this->apply_sum(now, sum, this->sent_loads.empty() ? 0 : this->sent_loads.back().sequence);
 }
--- a/src/relay/zone_exchange.hpp
+++ b/src/relay/zone_exchange.hpp
@@ -87,8 +87,8 @@
   void send_to_members(const std::vector<Subscriber>& subscribers, const LoadDigest& sum);
   void apply_own_sum(MonotonicTime now, const LoadDigest& sum);
   void apply_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted);
-  void append_news(EngineNews& news, const EngineNews& more);
-  void apply_news(const EngineNews& news);
+  void append_updates(EngineNews& updates, const EngineNews& added);
+  void apply_updates(const EngineNews& updates);
   void record_view(MonotonicTime now);
   void update_revisions(const CatalogRevisions& revisions);
   void update_store_confirmation(std::uint32_t store_age_ms);
@@ -112,16 +112,16 @@
   std::function<void(const CatalogRevisions&)> revision_handler;
   std::function<void()> view_request_handler;
 
-  CollectorChoice choice;
-  std::map<ZoneName, CollectorChoice> other_zones;  ///< Choice of collectors per other zone.
+  CollectorChoice selector;
+  std::map<ZoneName, CollectorChoice> zone_selectors;  ///< Collectors chosen in each other zone.
   LoadCollector collector;
   std::unique_ptr<Timer> timer;
   bool running = false;
   std::size_t view_messages = 0;  ///< Messages sent to members with the last sum.
   std::deque<SentLoad> sent_loads;
   std::uint64_t sums_sent = 0;
-  EngineNews zone_news;   ///< From this zone since the last sum.
-  EngineNews other_news;  ///< From other zones since the last sum.
+  EngineNews zone_updates;        ///< From this zone since the last sum.
+  EngineNews other_zone_updates;  ///< From other zones since the last sum.
   CatalogRevisions seen_revisions;
   MonotonicTime store_confirmed_at{};                 ///< Last store confirmation of any reader.
   std::map<NodeId, MessageNumber> last_view_numbers;  ///< Last view of each collector.
