--- a/src/bench/configuration_command.cpp
+++ b/src/bench/configuration_command.cpp
@@ -58,14 +58,14 @@
   const ConfigurationSummary own = summarize(newer, 2);
   const std::string call = encode(ConfigurationCall{known, kMaxConfigurationMessage});
   const std::string whole = encode(ConfigurationMessage{2, newer});
-  const std::string part = encode(part_for(known, {2, newer}, own));
+  const std::string part = encode(make_delta(known, {2, newer}, own));
   const double summary_ms = ms_each(settings.rounds, [&] { summarize(newer, 2); });
   const double part_ms = ms_each(settings.rounds, [&] {
-    encode(part_for(known, {2, newer}, own));
+    encode(make_delta(known, {2, newer}, own));
   });
   const double take_ms = ms_each(settings.rounds, [&] {
     auto message = decode_configuration(part);
-    if (message) complete(std::move(*message), held);
+    if (message) apply_delta(std::move(*message), held);
   });
   const double whole_ms = ms_each(settings.rounds, [&] { decode_configuration(whole); });
   output << "call " << call.size() << " B, part " << part.size() << " B, whole " << whole.size()
--- a/src/protocol/configuration_message.cpp
+++ b/src/protocol/configuration_message.cpp
@@ -182,28 +182,31 @@
 }
 
 json to_json(const ConfigurationSummary& summary) {
-  return {{"revision", summary.revision}, {"groups", summary.groups}, {"tenants", summary.tenants}};
+  return {{"revision", summary.revision},
+          {"groups", summary.group_hashes},
+          {"tenants", summary.tenants_hash}};
 }
 
 ConfigurationSummary summary_of(const json& object) {
   ConfigurationSummary summary;
   summary.revision = object.at("revision").get<std::uint64_t>();
-  summary.groups = object.at("groups").get<decltype(summary.groups)>();
-  summary.tenants = object.at("tenants").get<std::uint64_t>();
+  summary.group_hashes = object.at("groups").get<decltype(summary.group_hashes)>();
+  summary.tenants_hash = object.at("tenants").get<std::uint64_t>();
   return summary;
 }
 
-json to_json(const ConfigurationPart& part) {
-  return {
-      {"groups", part.groups}, {"tenants_kept", part.tenants_kept}, {"whole", to_json(part.whole)}};
+json to_json(const ConfigurationDelta& delta) {
+  return {{"groups", delta.changed_groups},
+          {"tenants_kept", delta.tenants_unchanged},
+          {"whole", to_json(delta.result)}};
 }
 
-ConfigurationPart part_of(const json& object) {
-  ConfigurationPart part;
-  part.groups = object.at("groups").get<std::vector<std::size_t>>();
-  part.tenants_kept = object.at("tenants_kept").get<bool>();
-  part.whole = summary_of(object.at("whole"));
-  return part;
+ConfigurationDelta delta_of(const json& object) {
+  ConfigurationDelta delta;
+  delta.changed_groups = object.at("groups").get<std::vector<std::size_t>>();
+  delta.tenants_unchanged = object.at("tenants_kept").get<bool>();
+  delta.result = summary_of(object.at("whole"));
+  return delta;
 }
 
 bool contains(const std::vector<std::size_t>& groups, std::size_t group) {
@@ -211,50 +214,53 @@
 }
 
 /// Stands before the bytes of a call, which share a port with other calls.
-constexpr std::string_view kCallMark = "configuration?";
+constexpr std::string_view kCallPrefix = "configuration?";
 
 }  // namespace
 
-ConfigurationMessage part_for(const ConfigurationSummary& known, ConfigurationMessage message,
-                              const ConfigurationSummary& own) {
-  ConfigurationPart part;
-  part.whole = own;
+ConfigurationMessage make_delta(const ConfigurationSummary& known, ConfigurationMessage message,
+                                const ConfigurationSummary& summary) {
+  ConfigurationDelta delta;
+  delta.result = summary;
   for (std::size_t group = 0; group < kRouteGroups; ++group) {
-    if (known.groups[group] != own.groups[group]) part.groups.push_back(group);
+    if (known.group_hashes[group] != summary.group_hashes[group])
+      delta.changed_groups.push_back(group);
   }
-  part.tenants_kept = known.tenants == own.tenants;
-  std::erase_if(message.configuration.routes,
-                [&part](const Route& route) { return !contains(part.groups, group_of(route)); });
-  if (part.tenants_kept) message.configuration.tenants.reset();
-  message.part = std::move(part);
+  delta.tenants_unchanged = known.tenants_hash == summary.tenants_hash;
+  std::erase_if(message.configuration.routes, [&delta](const Route& route) {
+    return !contains(delta.changed_groups, group_of(route));
+  });
+  if (delta.tenants_unchanged) message.configuration.tenants.reset();
+  message.delta = std::move(delta);
   return message;
 }
 
-tl::expected<ConfigurationMessage, std::string> complete(ConfigurationMessage message,
-                                                         const RouteConfiguration& held) {
-  if (!message.part) return message;
-  const ConfigurationPart part = *std::exchange(message.part, std::nullopt);
-  for (const Route& route : held.routes) {
-    if (!contains(part.groups, group_of(route))) message.configuration.routes.push_back(route);
+tl::expected<ConfigurationMessage, std::string> apply_delta(ConfigurationMessage message,
+                                                            const RouteConfiguration& base) {
+  if (!message.delta) return message;
+  const ConfigurationDelta delta = *std::exchange(message.delta, std::nullopt);
+  for (const Route& route : base.routes) {
+    if (!contains(delta.changed_groups, group_of(route)))
+      message.configuration.routes.push_back(route);
   }
-  if (part.tenants_kept) message.configuration.tenants = held.tenants;
-  if (summarize(message.configuration, message.revision).same_content(part.whole)) return message;
+  if (delta.tenants_unchanged) message.configuration.tenants = base.tenants;
+  if (summarize(message.configuration, message.revision).same_content(delta.result)) return message;
   return tl::make_unexpected(std::string("what is held here is not what the answer builds on"));
 }
 
 std::string encode(const ConfigurationCall& call) {
-  std::string bytes(kCallMark);
-  json::to_msgpack({{"known", to_json(call.known)}, {"most_bytes", call.most_bytes}}, bytes);
+  std::string bytes(kCallPrefix);
+  json::to_msgpack({{"known", to_json(call.known)}, {"most_bytes", call.max_bytes}}, bytes);
   return bytes;
 }
 
 bool is_configuration_call(std::string_view bytes) {
-  return bytes.substr(0, kCallMark.size()) == kCallMark;
+  return bytes.substr(0, kCallPrefix.size()) == kCallPrefix;
 }
 
 tl::expected<ConfigurationCall, std::string> decode_configuration_call(std::string_view bytes) {
   try {
-    const std::string_view body = bytes.substr(std::min(kCallMark.size(), bytes.size()));
+    const std::string_view body = bytes.substr(std::min(kCallPrefix.size(), bytes.size()));
     const json document = json::from_msgpack(body.begin(), body.end());
     return ConfigurationCall{summary_of(document.at("known")),
                              document.at("most_bytes").get<std::size_t>()};
@@ -285,7 +291,7 @@
       document["tenants"].push_back(to_json(tenant));
     }
   }
-  if (message.part) document["part"] = to_json(*message.part);
+  if (message.delta) document["part"] = to_json(*message.delta);
   std::string bytes;
   json::to_msgpack(document, bytes);
   return bytes;
@@ -296,7 +302,7 @@
     const json document = json::from_msgpack(bytes.begin(), bytes.end());
     ConfigurationMessage message{document.at("revision").get<std::uint64_t>(),
                                  configuration_of(document)};
-    if (document.contains("part")) message.part = part_of(document["part"]);
+    if (document.contains("part")) message.delta = delta_of(document["part"]);
     return message;
   } catch (const json::exception& error) {
     return tl::make_unexpected(std::string(error.what()));
--- a/src/protocol/configuration_message.hpp
+++ b/src/protocol/configuration_message.hpp
@@ -17,18 +17,18 @@
 namespace shuntbank {
 
 /// What a message leaves out, since the node that asked for it has it.
-struct ConfigurationPart {
+struct ConfigurationDelta {
   /// Only the routes of these groups are told. All others are as in what the node summarized.
-  std::vector<std::size_t> groups;
-  bool tenants_kept = false;   ///< The same holds for tenants.
-  ConfigurationSummary whole;  ///< Of the configuration that comes out.
+  std::vector<std::size_t> changed_groups;
+  bool tenants_unchanged = false;  ///< The same holds for tenants.
+  ConfigurationSummary result;     ///< Of the configuration that comes out.
 };
 
 /// A configuration and the revision at which the store holds it.
 struct ConfigurationMessage {
   std::uint64_t revision = 0;
   relay::RouteConfiguration configuration;
-  std::optional<ConfigurationPart> part = std::nullopt;  ///< Unset: it is whole.
+  std::optional<ConfigurationDelta> delta = std::nullopt;  ///< Unset: it is whole.
 };
 
 /// Largest message, in bytes: as much as peers take at once.
@@ -38,18 +38,18 @@
 struct ConfigurationCall {
   ConfigurationSummary known;
   /// A longer answer is not wanted: what is on its way from elsewhere comes before it.
-  std::size_t most_bytes = 0;
+  std::size_t max_bytes = 0;
 };
 
 /// @return the part of `message` that a node lacks which holds what `known` summarizes. The message
 /// is whole. @param own its summary.
-ConfigurationMessage part_for(const ConfigurationSummary& known, ConfigurationMessage message,
-                              const ConfigurationSummary& own);
+ConfigurationMessage make_delta(const ConfigurationSummary& known, ConfigurationMessage message,
+                                const ConfigurationSummary& summary);
 
 /// Completes a message that tells a part. @param held the configuration that was summarized.
 /// @return the whole, or why it cannot be had: what is held is not what was summarized.
-tl::expected<ConfigurationMessage, std::string> complete(ConfigurationMessage message,
-                                                         const relay::RouteConfiguration& held);
+tl::expected<ConfigurationMessage, std::string> apply_delta(ConfigurationMessage message,
+                                                            const relay::RouteConfiguration& base);
 
 std::string encode(const ConfigurationMessage& message);
 std::string encode(const ConfigurationCall& call);
--- a/src/protocol/configuration_summary.cpp
+++ b/src/protocol/configuration_summary.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Writes fields one after the other so that no two values give the same bytes.
-class FieldBytes {
+class FieldHasher {
  public:
   void add(std::string_view text) {
     add(text.size());
@@ -29,7 +29,7 @@
 };
 
 std::uint64_t hash_of(const relay::Route& route) {
-  FieldBytes fields;
+  FieldHasher fields;
   fields.add(route.name);
   fields.add(route.host);
   fields.add(route.path_prefix);
@@ -51,7 +51,7 @@
 }
 
 std::uint64_t hash_of(const relay::DeclaredTenant& tenant) {
-  FieldBytes fields;
+  FieldHasher fields;
   fields.add(tenant.name.value());
   fields.add(std::uint64_t{tenant.priority.has_value()});
   fields.add(static_cast<std::uint64_t>(tenant.priority.value_or(0)));
@@ -76,12 +76,12 @@
   summary.revision = revision;
   // Sums do not depend on the order, which says nothing in a configuration.
   for (const relay::Route& route : configuration.routes) {
-    summary.groups[group_of(route)] += hash_of(route);
+    summary.group_hashes[group_of(route)] += hash_of(route);
   }
   if (!configuration.tenants) return summary;
-  summary.tenants = 1;  // No tenant at all is not the same as a system without tenants.
+  summary.tenants_hash = 1;  // No tenant at all is not the same as a system without tenants.
   for (const relay::DeclaredTenant& tenant : *configuration.tenants) {
-    summary.tenants += hash_of(tenant);
+    summary.tenants_hash += hash_of(tenant);
   }
   return summary;
 }
--- a/src/protocol/configuration_summary.hpp
+++ b/src/protocol/configuration_summary.hpp
@@ -17,14 +17,14 @@
 /// What a configuration holds, by hashes.
 struct ConfigurationSummary {
   std::uint64_t revision = 0;  ///< At which the store holds it; 0: none is known.
-  std::array<std::uint64_t, kRouteGroups> groups{};  ///< Over the routes of each group.
-  std::uint64_t tenants = 0;                         ///< Over all tenants with their keys' hashes.
+  std::array<std::uint64_t, kRouteGroups> group_hashes{};  ///< Over the routes of each group.
+  std::uint64_t tenants_hash = 0;  ///< Over all tenants with their keys' hashes.
 
   bool operator==(const ConfigurationSummary&) const = default;
 
   /// @return whether both summarize the same routes and tenants, whatever their revisions.
   bool same_content(const ConfigurationSummary& other) const {
-    return this->groups == other.groups && this->tenants == other.tenants;
+    return this->group_hashes == other.group_hashes && this->tenants_hash == other.tenants_hash;
   }
 };
 
--- a/src/protocol/crash_report_codec.cpp
+++ b/src/protocol/crash_report_codec.cpp
@@ -11,12 +11,12 @@
   return list;
 }
 
-std::vector<relay::CrashReport> crash_reports(const nlohmann::json& list) {
+std::vector<relay::CrashReport> crash_reports_from_json(const nlohmann::json& list) {
   std::vector<relay::CrashReport> reports;
   for (const nlohmann::json& entry : list) {
-    const auto news = entry.at(0).get<unsigned>();
-    if (news > static_cast<unsigned>(relay::kLastCrashNews)) continue;
-    reports.push_back({static_cast<relay::CrashNews>(news),
+    const auto event = entry.at(0).get<unsigned>();
+    if (event > static_cast<unsigned>(relay::kLastCrashNews)) continue;
+    reports.push_back({static_cast<relay::CrashNews>(event),
                        {entry.at(1).get<std::uint64_t>(), entry.at(2).get<std::uint64_t>()},
                        entry.at(3).get<relay::EngineKey>(),
                        entry.at(4).get<relay::CallerKey>(),
--- a/src/protocol/lease_codec.cpp
+++ b/src/protocol/lease_codec.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Taken for the length of a lease that does not say its own.
-constexpr Duration kUnreadableLength = std::chrono::seconds(30);
+constexpr Duration kFallbackLeaseDuration = std::chrono::seconds(30);
 
 std::string text_of(const nlohmann::json& json, const char* key) {
   const auto found = json.find(key);
@@ -24,13 +24,13 @@
 
 LeaseRecord lease_from_json(const nlohmann::json& json) {
   LeaseRecord record;
-  record.length = kUnreadableLength;
+  record.length = kFallbackLeaseDuration;
   if (!json.is_object()) return record;
   record.holder = NodeId(text_of(json, "holder"));
   record.write_id = text_of(json, "write_id");
   const auto epoch = json.find("epoch");
   if (epoch != json.end() && epoch->is_number_unsigned()) record.epoch = epoch->get<Fence>();
-  record.length = parse_duration(text_of(json, "length")).value_or(kUnreadableLength);
+  record.length = parse_duration(text_of(json, "length")).value_or(kFallbackLeaseDuration);
   return record;
 }
 
--- a/src/protocol/limit_codec.cpp
+++ b/src/protocol/limit_codec.cpp
@@ -7,11 +7,11 @@
   entry.push_back(limit.age_ms);
 }
 
-relay::ToldLimit limit_at(const nlohmann::json& entry, std::size_t place) {
+relay::ToldLimit limit_at(const nlohmann::json& entry, std::size_t index) {
   relay::ToldLimit limit;
-  const nlohmann::json& figure = entry.at(place);
-  if (!figure.is_null()) limit.a_second = figure.get<double>();
-  limit.age_ms = entry.at(place + 1).get<std::uint32_t>();
+  const nlohmann::json& value = entry.at(index);
+  if (!value.is_null()) limit.a_second = value.get<double>();
+  limit.age_ms = entry.at(index + 1).get<std::uint32_t>();
   return limit;
 }
 
--- a/src/protocol/limit_codec.hpp
+++ b/src/protocol/limit_codec.hpp
@@ -14,6 +14,6 @@
 
 /// @return the limit whose values begin at a place of an entry. Throws as nlohmann/json does when
 /// there is none.
-relay::ToldLimit limit_at(const nlohmann::json& entry, std::size_t place);
+relay::ToldLimit limit_at(const nlohmann::json& entry, std::size_t index);
 
 }  // namespace shuntbank
--- a/src/protocol/load_digest.cpp
+++ b/src/protocol/load_digest.cpp
@@ -18,11 +18,11 @@
 /// load messages are maps, which the second is not.
 constexpr char kViewMark = '\xc1';
 constexpr char kDigestMark = '\x9a';  // An array of ten.
-constexpr std::size_t kCountedBytes = 8;
+constexpr std::size_t kSequenceBytes = 8;
 
 /// Of a digest without load and news: names, numbers and revisions. Names of nodes and zones are
 /// well below 100 bytes.
-constexpr std::size_t kHeadBytes = 300;
+constexpr std::size_t kMaxHeaderBytes = 300;
 
 /// @return bytes of a number in MessagePack.
 std::size_t packed_size(std::uint64_t number) {
@@ -46,8 +46,8 @@
   return bytes;
 }
 
-constexpr std::size_t kTroubleBytes = 9;
-constexpr std::size_t kLimitBytes = 20;
+constexpr std::size_t kMaxTroubleBytes = 9;
+constexpr std::size_t kMaxLimitBytes = 20;
 
 json load_to_json(const relay::LoadByKey& load) {
   json numbers = json::array();
@@ -134,9 +134,10 @@
 }
 
 /// Lists that are mostly empty come last and are left out then.
-json news_to_json(const relay::EngineNews& news) {
-  json lists = {reads_to_json(news.reads), troubles_to_json(news.troubles), to_json(news.crashes)};
-  if (!news.limits.empty()) lists.push_back(limits_to_json(news.limits));
+json updates_to_json(const relay::EngineNews& updates) {
+  json lists = {reads_to_json(updates.reads), troubles_to_json(updates.troubles),
+                to_json(updates.crashes)};
+  if (!updates.limits.empty()) lists.push_back(limits_to_json(updates.limits));
   return lists;
 }
 
@@ -145,11 +146,11 @@
                          digest.number.boot,
                          digest.number.sequence,
                          digest.zone.value(),
-                         digest.nodes,
-                         {digest.part.first, digest.part.last},
-                         load_to_json(digest.part.load),
-                         news_to_json(digest.news),
-                         {digest.seen.configuration, digest.seen.engines},
+                         digest.node_count,
+                         {digest.range.first, digest.range.last},
+                         load_to_json(digest.range.load),
+                         updates_to_json(digest.updates),
+                         {digest.revisions.configuration, digest.revisions.engines},
                          digest.store_age_ms};
   std::string bytes;
   json::to_msgpack(document, bytes);
@@ -159,70 +160,73 @@
 /// Fills one message after the other with load, and then with news.
 class Splitter {
  public:
-  explicit Splitter(const LoadDigest& own_whole) : whole(own_whole) { this->part = this->empty(); }
+  explicit Splitter(const LoadDigest& own_whole) : whole(own_whole) {
+    this->part = this->empty_part();
+  }
 
   std::vector<std::string> split() {
-    for (const auto& [key, work] : this->whole.part.load) this->add_load(key, work);
-    this->part.part.last = this->whole.part.last;
-    for (const relay::KeyedRead& read : this->whole.news.reads) this->add_read(read);
-    for (const relay::KeyedTrouble& trouble : this->whole.news.troubles) this->add_trouble(trouble);
-    for (const relay::CrashReport& crash : this->whole.news.crashes) this->add_crash(crash);
-    for (const relay::KeyedLimit& limit : this->whole.news.limits) this->add_limit(limit);
+    for (const auto& [key, work] : this->whole.range.load) this->add_load(key, work);
+    this->part.range.last = this->whole.range.last;
+    for (const relay::KeyedRead& read : this->whole.updates.reads) this->add_read(read);
+    for (const relay::KeyedTrouble& trouble : this->whole.updates.troubles)
+      this->add_trouble(trouble);
+    for (const relay::CrashReport& crash : this->whole.updates.crashes) this->add_crash(crash);
+    for (const relay::KeyedLimit& limit : this->whole.updates.limits) this->add_limit(limit);
     this->parts.push_back(encode(this->part));
     return std::move(this->parts);
   }
 
  private:
-  LoadDigest empty() const {
-    LoadDigest head = this->whole;
-    head.part.load.clear();
-    head.news = {};
-    return head;
+  LoadDigest empty_part() const {
+    LoadDigest digest = this->whole;
+    digest.range.load.clear();
+    digest.updates = {};
+    return digest;
   }
 
-  bool full(std::size_t more) {
-    constexpr std::size_t kRoom = kMaxLoadMessage - kHeadBytes - kCountedBytes;
-    const bool is_full = this->bytes > 0 && this->bytes + more > kRoom;
-    this->bytes = is_full ? more : this->bytes + more;
-    return is_full;
+  bool overflows(std::size_t added_bytes) {
+    constexpr std::size_t kCapacity = kMaxLoadMessage - kMaxHeaderBytes - kSequenceBytes;
+    const bool is_new_part = this->bytes > 0 && this->bytes + added_bytes > kCapacity;
+    this->bytes = is_new_part ? added_bytes : this->bytes + added_bytes;
+    return is_new_part;
   }
 
   void add_load(relay::EngineKey key, const relay::PeerLoad& work) {
-    if (this->full(packed_size(work))) {
-      this->part.part.last = key - 1;
+    if (this->overflows(packed_size(work))) {
+      this->part.range.last = key - 1;
       this->parts.push_back(encode(this->part));
-      this->part = this->empty();
-      this->part.part.first = key;
+      this->part = this->empty_part();
+      this->part.range.first = key;
     }
-    this->part.part.load[key] = work;
+    this->part.range.load[key] = work;
   }
 
   /// A message that holds news only covers no engines.
-  void begin_news() {
+  void begin_updates_part() {
     this->parts.push_back(encode(this->part));
-    this->part = this->empty();
-    this->part.part.first = 1;
-    this->part.part.last = 0;
+    this->part = this->empty_part();
+    this->part.range.first = 1;
+    this->part.range.last = 0;
   }
 
   void add_read(const relay::KeyedRead& read) {
-    if (this->full(packed_size(read))) this->begin_news();
-    this->part.news.reads.push_back(read);
+    if (this->overflows(packed_size(read))) this->begin_updates_part();
+    this->part.updates.reads.push_back(read);
   }
 
   void add_trouble(const relay::KeyedTrouble& trouble) {
-    if (this->full(kTroubleBytes)) this->begin_news();
-    this->part.news.troubles.push_back(trouble);
+    if (this->overflows(kMaxTroubleBytes)) this->begin_updates_part();
+    this->part.updates.troubles.push_back(trouble);
   }
 
   void add_crash(const relay::CrashReport& crash) {
-    if (this->full(kCrashReportBytes)) this->begin_news();
-    this->part.news.crashes.push_back(crash);
+    if (this->overflows(kMaxCrashReportBytes)) this->begin_updates_part();
+    this->part.updates.crashes.push_back(crash);
   }
 
   void add_limit(const relay::KeyedLimit& limit) {
-    if (this->full(kLimitBytes)) this->begin_news();
-    this->part.news.limits.push_back(limit);
+    if (this->overflows(kMaxLimitBytes)) this->begin_updates_part();
+    this->part.updates.limits.push_back(limit);
   }
 
   const LoadDigest& whole;
@@ -247,10 +251,10 @@
   return Splitter(whole).split();
 }
 
-std::string address_view(std::uint64_t counted, std::string_view digest) {
+std::string encode_view(std::uint64_t last_sequence, std::string_view digest) {
   std::string bytes(1, kViewMark);
-  for (std::size_t i = 0; i < kCountedBytes; ++i) {
-    bytes += static_cast<char>(counted >> (8 * (kCountedBytes - 1 - i)));
+  for (std::size_t i = 0; i < kSequenceBytes; ++i) {
+    bytes += static_cast<char>(last_sequence >> (8 * (kSequenceBytes - 1 - i)));
   }
   bytes += digest;
   return bytes;
@@ -271,17 +275,18 @@
     digest.collector = NodeId(document.at(0).get<std::string>());
     digest.number = {document.at(1).get<std::uint64_t>(), document.at(2).get<std::uint64_t>()};
     digest.zone = ZoneName(document.at(3).get<std::string>());
-    digest.nodes = document.at(4).get<std::size_t>();
-    digest.part.first = document.at(5).at(0).get<relay::EngineKey>();
-    digest.part.last = document.at(5).at(1).get<relay::EngineKey>();
-    digest.part.load = load_from_json(document.at(6));
-    digest.news.reads = reads_from_json(document.at(7).at(0));
-    digest.news.troubles = troubles_from_json(document.at(7).at(1));
+    digest.node_count = document.at(4).get<std::size_t>();
+    digest.range.first = document.at(5).at(0).get<relay::EngineKey>();
+    digest.range.last = document.at(5).at(1).get<relay::EngineKey>();
+    digest.range.load = load_from_json(document.at(6));
+    digest.updates.reads = reads_from_json(document.at(7).at(0));
+    digest.updates.troubles = troubles_from_json(document.at(7).at(1));
     // Nodes that run earlier versions tell of none.
-    if (document.at(7).size() > 2) digest.news.crashes = crash_reports(document.at(7).at(2));
-    if (document.at(7).size() > 3) digest.news.limits = limits_from_json(document.at(7).at(3));
-    digest.seen = {document.at(8).at(0).get<std::uint64_t>(),
-                   document.at(8).at(1).get<std::uint64_t>()};
+    if (document.at(7).size() > 2)
+      digest.updates.crashes = crash_reports_from_json(document.at(7).at(2));
+    if (document.at(7).size() > 3) digest.updates.limits = limits_from_json(document.at(7).at(3));
+    digest.revisions = {document.at(8).at(0).get<std::uint64_t>(),
+                        document.at(8).at(1).get<std::uint64_t>()};
     digest.store_age_ms = document.at(9).get<std::uint32_t>();
     return digest;
   } catch (const json::exception& error) {
@@ -290,14 +295,14 @@
 }
 
 tl::expected<FleetView, std::string> decode_view(std::string_view bytes) {
-  if (!is_view(bytes) || bytes.size() <= 1 + kCountedBytes) {
+  if (!is_view(bytes) || bytes.size() <= 1 + kSequenceBytes) {
     return tl::make_unexpected(std::string("too short for a view"));
   }
   FleetView view;
-  for (std::size_t i = 0; i < kCountedBytes; ++i) {
-    view.counted = (view.counted << 8U) | static_cast<unsigned char>(bytes[1 + i]);
+  for (std::size_t i = 0; i < kSequenceBytes; ++i) {
+    view.last_sequence = (view.last_sequence << 8U) | static_cast<unsigned char>(bytes[1 + i]);
   }
-  auto digest = decode_digest(bytes.substr(1 + kCountedBytes));
+  auto digest = decode_digest(bytes.substr(1 + kSequenceBytes));
   if (!digest) return tl::make_unexpected(digest.error());
   view.digest = std::move(*digest);
   return view;
--- a/src/protocol/load_digest.hpp
+++ b/src/protocol/load_digest.hpp
@@ -31,10 +31,11 @@
   NodeId collector;
   relay::MessageNumber number;  ///< The parts of one sum share it.
   ZoneName zone;                ///< Whose nodes are summed; empty: those of all zones.
-  std::size_t nodes = 0;        ///< That are in the sum.
-  relay::LoadRange part;
-  relay::EngineNews news;        ///< Since the sum before.
-  relay::CatalogRevisions seen;  ///< The newest changes of the store that any of them has seen.
+  std::size_t node_count = 0;   ///< That are in the sum.
+  relay::LoadRange range;
+  relay::EngineNews updates;  ///< Since the sum before.
+  relay::CatalogRevisions
+      revisions;  ///< The newest changes of the store that any of them has seen.
   /// How long ago the store has confirmed its state to a node that reads it for others, in
   /// milliseconds; kNeverConfirmed: to none that is known.
   std::uint32_t store_age_ms = kNeverConfirmed;
@@ -45,18 +46,18 @@
 /// A digest as it is sent to one node of the collector's own zone.
 struct FleetView {
   /// Number of the receiver's newest message that is in the sum; 0: none is.
-  std::uint64_t counted = 0;
+  std::uint64_t last_sequence = 0;
   LoadDigest digest;
 };
 
 /// @return `whole` in as many messages as it needs, none larger than kMaxLoadMessage. The news go
-/// with the parts, each once. Collectors are sent them as they are, members through `address_view`.
+/// with the parts, each once. Collectors are sent them as they are, members through `encode_view`.
 std::vector<std::string> encode_parts(const LoadDigest& whole);
 
 /// @return an encoded digest as it is sent to one node.
-std::string address_view(std::uint64_t counted, std::string_view digest);
+std::string encode_view(std::uint64_t last_sequence, std::string_view digest);
 
-/// @return whether the bytes were made by `address_view`.
+/// @return whether the bytes were made by `encode_view`.
 bool is_view(std::string_view bytes);
 
 /// @return whether the bytes may be a digest, rather than another message between nodes.
--- a/src/protocol/load_message.cpp
+++ b/src/protocol/load_message.cpp
@@ -54,18 +54,18 @@
   return troubles;
 }
 
-json limits_to_json(const std::vector<ToldLimitNews>& limits) {
+json limits_to_json(const std::vector<EngineLimitReport>& limits) {
   json list = json::array();
-  for (const ToldLimitNews& news : limits) {
-    json entry = json::array({news.engine.value()});
-    append_limit(entry, news.limit);
+  for (const EngineLimitReport& report : limits) {
+    json entry = json::array({report.engine.value()});
+    append_limit(entry, report.limit);
     list.push_back(std::move(entry));
   }
   return list;
 }
 
-std::vector<ToldLimitNews> limits_from_json(const json& list) {
-  std::vector<ToldLimitNews> limits;
+std::vector<EngineLimitReport> limits_from_json(const json& list) {
+  std::vector<EngineLimitReport> limits;
   for (const json& item : list) {
     limits.push_back({EngineId(item.at(0).get<std::string>()), limit_at(item, 1)});
   }
@@ -85,7 +85,7 @@
                    {"boot", message.boot},
                    {"seq", message.sequence},
                    {"load", std::move(load)},
-                   {"seen", {message.seen.configuration, message.seen.engines}}};
+                   {"seen", {message.revisions.configuration, message.revisions.engines}}};
   if (message.store_age_ms) document["age"] = *message.store_age_ms;
   if (message.to_collector) document["sum"] = message.wants_view;
   if (!message.reads.empty()) document["reads"] = reads_to_json(message.reads);
@@ -99,7 +99,7 @@
 
 std::string encode(const CacheSnapshot& snapshot) {
   std::string bytes;
-  json::to_msgpack(json{{"kept", reads_to_json(snapshot.kept)}}, bytes);
+  json::to_msgpack(json{{"kept", reads_to_json(snapshot.cached_prompts)}}, bytes);
   return bytes;
 }
 
@@ -126,8 +126,8 @@
       if (item.size() > 3) work.deferred_tokens = item.at(3).get<std::uint64_t>();
     }
     if (document.contains("seen")) {
-      message.seen.configuration = document["seen"].at(0).get<std::uint64_t>();
-      message.seen.engines = document["seen"].at(1).get<std::uint64_t>();
+      message.revisions.configuration = document["seen"].at(0).get<std::uint64_t>();
+      message.revisions.engines = document["seen"].at(1).get<std::uint64_t>();
     }
     if (document.contains("age")) message.store_age_ms = document["age"].get<std::uint32_t>();
     if (document.contains("sum")) {
@@ -138,7 +138,8 @@
       message.troubles = troubles_from_json(document["troubles"]);
     }
     if (document.contains("limits")) message.limits = limits_from_json(document["limits"]);
-    if (document.contains("crashes")) message.crashes = crash_reports(document["crashes"]);
+    if (document.contains("crashes"))
+      message.crashes = crash_reports_from_json(document["crashes"]);
     if (document.contains("reads")) message.reads = reads_from_json(document["reads"]);
     return message;
   } catch (const json::exception& error) {
--- a/src/protocol/load_message.hpp
+++ b/src/protocol/load_message.hpp
@@ -19,11 +19,11 @@
 namespace shuntbank {
 
 /// A changed limit of an engine.
-struct ToldLimitNews {
+struct EngineLimitReport {
   EngineId engine;
   relay::ToldLimit limit;
 
-  bool operator==(const ToldLimitNews&) const = default;
+  bool operator==(const EngineLimitReport&) const = default;
 };
 
 /// One node's work. Whole each time, so that a lost message does not matter.
@@ -34,9 +34,9 @@
   std::map<EngineId, relay::PeerLoad> load;
   std::vector<relay::PromptRead> reads;        ///< Since the last message.
   std::vector<relay::EngineTrouble> troubles;  ///< The same.
-  std::vector<ToldLimitNews> limits;           ///< The same.
+  std::vector<EngineLimitReport> limits;       ///< The same.
   std::vector<relay::CrashReport> crashes;     ///< What is to be told now.
-  relay::CatalogRevisions seen;  ///< How far the node has come in the store's changes.
+  relay::CatalogRevisions revisions;  ///< How far the node has come in the store's changes.
   /// How long ago the store confirmed them, in milliseconds, where the node reads it for others.
   std::optional<std::uint32_t> store_age_ms;
   bool to_collector = false;  ///< The receiver is to sum it up with that of others.
@@ -45,7 +45,8 @@
 
 /// What a node that has just started asks of another: the prompts that engines keep.
 struct CacheSnapshot {
-  std::vector<relay::PromptRead> kept;  ///< One entry an engine; least recently used first.
+  std::vector<relay::PromptRead>
+      cached_prompts;  ///< One entry an engine; least recently used first.
 };
 
 /// Largest message, in bytes; stays below what one datagram of the usual links carries.
--- a/src/protocol/marked_message.hpp
+++ b/src/protocol/marked_message.hpp
@@ -9,18 +9,18 @@
 
 namespace shuntbank {
 
-inline bool begins_with(std::string_view bytes, char mark) {
+inline bool has_mark(std::string_view bytes, char mark) {
   return !bytes.empty() && bytes.front() == mark;
 }
 
-inline std::string marked(char mark, const nlohmann::json& document) {
+inline std::string encode_marked(char mark, const nlohmann::json& document) {
   std::string bytes(1, mark);
   nlohmann::json::to_msgpack(document, bytes);
   return bytes;
 }
 
 /// @return the document behind the mark. Throws as nlohmann/json does when there is none.
-inline nlohmann::json from_marked(std::string_view bytes) {
+inline nlohmann::json decode_marked(std::string_view bytes) {
   bytes.remove_prefix(1);
   return nlohmann::json::from_msgpack(bytes.begin(), bytes.end());
 }
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -60,10 +60,10 @@
   return list;
 }
 
-template <typename Item, typename Read>
-std::vector<Item> list_from_json(const json& list, Read read) {
+template <typename Item, typename Decode>
+std::vector<Item> list_from_json(const json& list, Decode decode_item) {
   std::vector<Item> items;
-  for (const json& item : list) items.push_back(read(item));
+  for (const json& item : list) items.push_back(decode_item(item));
   return items;
 }
 
@@ -294,12 +294,12 @@
 
 tl::expected<Message, std::string> decode(std::string_view text) {
   bool too_deep = false;
-  const auto bounded = [&too_deep](int depth, json::parse_event_t, json&) {
+  const auto limit_depth = [&too_deep](int depth, json::parse_event_t, json&) {
     too_deep = too_deep || depth > kMaxDepth;
     return !too_deep;
   };
   try {
-    const json body = json::parse(text, bounded, true);
+    const json body = json::parse(text, limit_depth, true);
     if (too_deep) return tl::make_unexpected("nested too deeply");
     if (body.at("v").get<int>() != kProtocolVersion) {
       return tl::make_unexpected("another protocol version");
--- a/src/protocol/permit_message.cpp
+++ b/src/protocol/permit_message.cpp
@@ -14,19 +14,20 @@
 constexpr char kAnswerMark = 'Q';
 
 /// A verdict of a later version grants nothing.
-PermitVerdict verdict_from(int told) {
-  if (told == static_cast<int>(PermitVerdict::kGranted)) return PermitVerdict::kGranted;
-  if (told == static_cast<int>(PermitVerdict::kLater)) return PermitVerdict::kLater;
-  return PermitVerdict::kNotTheKeeper;
+PermitVerdict verdict_from_number(int value) {
+  if (value == static_cast<int>(PermitVerdict::kGranted)) return PermitVerdict::kGranted;
+  if (value == static_cast<int>(PermitVerdict::kWaitExceeded)) return PermitVerdict::kWaitExceeded;
+  return PermitVerdict::kNotOwner;
 }
 
 }  // namespace
 
 std::string encode(const PermitCall& call) {
-  json document = {call.node.value(), call.boot,        call.number,         call.engine.value(),
-                   call.wants_permit, call.earliest_ms, call.longest_wait_ms};
+  json document = {call.node.value(),   call.boot,         call.number,
+                   call.engine.value(), call.wants_permit, call.earliest_send_ms,
+                   call.max_wait_ms};
   append_limit(document, call.limit);
-  return marked(kCallMark, document);
+  return encode_marked(kCallMark, document);
 }
 
 std::string encode(const PermitAnswer& answer) {
@@ -35,31 +36,31 @@
                    answer.number,
                    answer.engine.value(),
                    static_cast<int>(answer.verdict),
-                   answer.leaves_in_ms,
-                   answer.next_in_ms};
+                   answer.send_in_ms,
+                   answer.next_permit_in_ms};
   append_limit(document, answer.limit);
-  return marked(kAnswerMark, document);
+  return encode_marked(kAnswerMark, document);
 }
 
 bool is_permit_call(std::string_view bytes) {
-  return begins_with(bytes, kCallMark);
+  return has_mark(bytes, kCallMark);
 }
 
 bool is_permit_answer(std::string_view bytes) {
-  return begins_with(bytes, kAnswerMark);
+  return has_mark(bytes, kAnswerMark);
 }
 
 tl::expected<PermitCall, std::string> decode_permit_call(std::string_view bytes) {
   try {
-    const json document = from_marked(bytes);
+    const json document = decode_marked(bytes);
     PermitCall call;
     call.node = NodeId(document.at(0).get<std::string>());
     call.boot = document.at(1).get<std::uint64_t>();
     call.number = document.at(2).get<std::uint64_t>();
     call.engine = EngineId(document.at(3).get<std::string>());
     call.wants_permit = document.at(4).get<bool>();
-    call.earliest_ms = document.at(5).get<std::uint32_t>();
-    call.longest_wait_ms = document.at(6).get<std::uint32_t>();
+    call.earliest_send_ms = document.at(5).get<std::uint32_t>();
+    call.max_wait_ms = document.at(6).get<std::uint32_t>();
     call.limit = limit_at(document, 7);
     return call;
   } catch (const json::exception& error) {
@@ -69,15 +70,15 @@
 
 tl::expected<PermitAnswer, std::string> decode_permit_answer(std::string_view bytes) {
   try {
-    const json document = from_marked(bytes);
+    const json document = decode_marked(bytes);
     PermitAnswer answer;
     answer.node = NodeId(document.at(0).get<std::string>());
     answer.boot = document.at(1).get<std::uint64_t>();
     answer.number = document.at(2).get<std::uint64_t>();
     answer.engine = EngineId(document.at(3).get<std::string>());
-    answer.verdict = verdict_from(document.at(4).get<int>());
-    answer.leaves_in_ms = document.at(5).get<std::uint32_t>();
-    answer.next_in_ms = document.at(6).get<std::uint32_t>();
+    answer.verdict = verdict_from_number(document.at(4).get<int>());
+    answer.send_in_ms = document.at(5).get<std::uint32_t>();
+    answer.next_permit_in_ms = document.at(6).get<std::uint32_t>();
     answer.limit = limit_at(document, 7);
     return answer;
   } catch (const json::exception& error) {
--- a/src/protocol/permit_message.hpp
+++ b/src/protocol/permit_message.hpp
@@ -20,9 +20,9 @@
   std::uint64_t number = 0;  ///< Comes back with the answer.
   EngineId engine;
   bool wants_permit = false;
-  std::uint32_t earliest_ms = 0;      ///< Until the send can leave.
-  std::uint32_t longest_wait_ms = 0;  ///< From then on: a later send is of no use.
-  relay::ToldLimit limit;             ///< As the asking node knows it.
+  std::uint32_t earliest_send_ms = 0;  ///< Until the send can leave.
+  std::uint32_t max_wait_ms = 0;       ///< From then on: a later send is of no use.
+  relay::ToldLimit limit;              ///< As the asking node knows it.
 
   bool operator==(const PermitCall&) const = default;
 };
@@ -30,8 +30,8 @@
 /// What became of a call.
 enum class PermitVerdict {
   kGranted,
-  kLater,         ///< Not within the wait that was asked for.
-  kNotTheKeeper,  ///< Another node keeps the limit, as far as this one can tell.
+  kWaitExceeded,  ///< Not within the wait that was asked for.
+  kNotOwner,      ///< Another node keeps the limit, as far as this one can tell.
 };
 
 /// The answer to a call.
@@ -40,10 +40,10 @@
   std::uint64_t boot = 0;    ///< Of the call.
   std::uint64_t number = 0;  ///< The same.
   EngineId engine;
-  PermitVerdict verdict = PermitVerdict::kNotTheKeeper;
-  std::uint32_t leaves_in_ms = 0;  ///< Until the send that was granted may leave.
-  std::uint32_t next_in_ms = 0;    ///< Until another one may.
-  relay::ToldLimit limit;          ///< As the answering node knows it.
+  PermitVerdict verdict = PermitVerdict::kNotOwner;
+  std::uint32_t send_in_ms = 0;         ///< Until the send that was granted may leave.
+  std::uint32_t next_permit_in_ms = 0;  ///< Until another one may.
+  relay::ToldLimit limit;               ///< As the answering node knows it.
 
   bool operator==(const PermitAnswer&) const = default;
 };
--- a/src/protocol/trouble_codec.cpp
+++ b/src/protocol/trouble_codec.cpp
@@ -11,8 +11,8 @@
 
 TroubleKind trouble_kind(const nlohmann::json& entry) {
   if (entry.at(2).get<bool>()) return TroubleKind::kMisdirected;
-  const bool leaving = entry.size() > 3 && entry.at(3).get<bool>();
-  return leaving ? TroubleKind::kLeaving : TroubleKind::kUnusable;
+  const bool draining = entry.size() > 3 && entry.at(3).get<bool>();
+  return draining ? TroubleKind::kLeaving : TroubleKind::kUnusable;
 }
 
 }  // namespace shuntbank
--- a/src/protocol/usage_message.cpp
+++ b/src/protocol/usage_message.cpp
@@ -14,83 +14,83 @@
 using usage::ToldUsage;
 
 constexpr char kCallMark = 'U';
-constexpr char kToldMark = 'V';
+constexpr char kCountsMark = 'V';
 
 /// Counts that one message holds: at 20 bytes each, a name of 16 among them, 1,200 bytes.
-constexpr std::size_t kCountsAMessage = 60;
+constexpr std::size_t kCountsPerMessage = 60;
 
-std::string encode_part(const ToldUsage& told, const json& counts, std::size_t part,
+std::string encode_part(const ToldUsage& whole, const json& counts, std::size_t part,
                         std::size_t parts) {
-  return marked(kToldMark,
-                {told.node.value(), told.boot, told.sequence, told.clock, told.counted_until,
-                 told.counting_since, told.window, part, parts, counts});
+  return encode_marked(
+      kCountsMark, {whole.node.value(), whole.boot, whole.sequence, whole.clock,
+                    whole.counted_until, whole.counting_since, whole.window, part, parts, counts});
 }
 
 }  // namespace
 
 std::string encode(const UsageCall& call) {
   json document = {call.reporter.value(), call.boot};
-  if (call.agreed) document.push_back(*call.agreed);
-  return marked(kCallMark, document);
+  if (call.true_time) document.push_back(*call.true_time);
+  return encode_marked(kCallMark, document);
 }
 
-std::vector<std::string> encode_parts(const ToldUsage& told) {
+std::vector<std::string> encode_parts(const ToldUsage& whole) {
   const std::size_t parts =
-      std::max<std::size_t>(1, (told.counts.size() + kCountsAMessage - 1) / kCountsAMessage);
+      std::max<std::size_t>(1, (whole.counts.size() + kCountsPerMessage - 1) / kCountsPerMessage);
   std::vector<std::string> messages;
   json counts = json::array();
-  for (const auto& [tenant, count] : told.counts) {
+  for (const auto& [tenant, count] : whole.counts) {
     counts.push_back(tenant.value());
     counts.push_back(count);
-    if (counts.size() < 2 * kCountsAMessage) continue;
+    if (counts.size() < 2 * kCountsPerMessage) continue;
     messages.push_back(
-        encode_part(told, std::exchange(counts, json::array()), messages.size(), parts));
+        encode_part(whole, std::exchange(counts, json::array()), messages.size(), parts));
   }
   if (messages.size() < parts) {
-    messages.push_back(encode_part(told, counts, messages.size(), parts));
+    messages.push_back(encode_part(whole, counts, messages.size(), parts));
   }
   return messages;
 }
 
 bool is_usage_call(std::string_view bytes) {
-  return begins_with(bytes, kCallMark);
+  return has_mark(bytes, kCallMark);
 }
 
-bool is_told_usage(std::string_view bytes) {
-  return begins_with(bytes, kToldMark);
+bool is_usage_counts(std::string_view bytes) {
+  return has_mark(bytes, kCountsMark);
 }
 
 tl::expected<UsageCall, std::string> decode_usage_call(std::string_view bytes) {
   try {
-    const json document = from_marked(bytes);
+    const json document = decode_marked(bytes);
     UsageCall call;
     call.reporter = NodeId(document.at(0).get<std::string>());
     call.boot = document.at(1).get<std::uint64_t>();
-    if (document.size() > 2) call.agreed = document.at(2).get<usage::UnixMs>();
+    if (document.size() > 2) call.true_time = document.at(2).get<usage::UnixMs>();
     return call;
   } catch (const json::exception& error) {
     return tl::make_unexpected(std::string(error.what()));
   }
 }
 
-tl::expected<ToldUsage, std::string> decode_told_usage(std::string_view bytes) {
+tl::expected<ToldUsage, std::string> decode_usage_counts(std::string_view bytes) {
   try {
-    const json document = from_marked(bytes);
-    ToldUsage told;
-    told.node = NodeId(document.at(0).get<std::string>());
-    told.boot = document.at(1).get<std::uint64_t>();
-    told.sequence = document.at(2).get<std::uint64_t>();
-    told.clock = document.at(3).get<usage::UnixMs>();
-    told.counted_until = document.at(4).get<usage::UnixMs>();
-    told.counting_since = document.at(5).get<usage::UnixMs>();
-    told.window = document.at(6).get<usage::WindowNumber>();
-    told.part = document.at(7).get<std::uint32_t>();
-    told.parts = document.at(8).get<std::uint32_t>();
+    const json document = decode_marked(bytes);
+    ToldUsage message;
+    message.node = NodeId(document.at(0).get<std::string>());
+    message.boot = document.at(1).get<std::uint64_t>();
+    message.sequence = document.at(2).get<std::uint64_t>();
+    message.clock = document.at(3).get<usage::UnixMs>();
+    message.counted_until = document.at(4).get<usage::UnixMs>();
+    message.counting_since = document.at(5).get<usage::UnixMs>();
+    message.window = document.at(6).get<usage::WindowNumber>();
+    message.part = document.at(7).get<std::uint32_t>();
+    message.parts = document.at(8).get<std::uint32_t>();
     const json& counts = document.at(9);
     for (std::size_t i = 0; i + 1 < counts.size(); i += 2) {
-      told.counts[TenantName(counts[i].get<std::string>())] = counts[i + 1].get<std::uint64_t>();
+      message.counts[TenantName(counts[i].get<std::string>())] = counts[i + 1].get<std::uint64_t>();
     }
-    return told;
+    return message;
   } catch (const json::exception& error) {
     return tl::make_unexpected(std::string(error.what()));
   }
--- a/src/relay/catalog.cpp
+++ b/src/relay/catalog.cpp
@@ -122,10 +122,10 @@
 
 void Catalog::take_from_peer(ConfigurationMessage message) {
   if (message.revision <= in_force_revision_) return;
-  const bool part = message.part.has_value();
+  const bool part = message.delta.has_value();
   const RouteConfiguration nothing;
   const RouteConfiguration& held = node_.table() ? node_.table()->configuration() : nothing;
-  auto whole = complete(std::move(message), held);
+  auto whole = apply_delta(std::move(message), held);
   if (!whole) {
     // Another configuration came into force since this node asked. It asks again.
     return log_event(LogArea::kConfig, LogLevel::kWarning, "config_part_unfit",
@@ -149,9 +149,9 @@
 std::string Catalog::configuration_for_peer(const ConfigurationCall& call) {
   if (node_.table() == nullptr || in_force_revision_ <= call.known.revision) return "";
   ConfigurationMessage message{in_force_revision_, node_.table()->configuration()};
-  if (call.known.revision != 0) message = part_for(call.known, std::move(message), summary());
+  if (call.known.revision != 0) message = make_delta(call.known, std::move(message), summary());
   std::string bytes = encode(message);
-  return bytes.size() <= call.most_bytes && may_give(bytes.size()) ? bytes : "";
+  return bytes.size() <= call.max_bytes && may_give(bytes.size()) ? bytes : "";
 }
 
 /// Long answers to many peers at once would take this node's link from its callers.
--- a/src/relay/engine_permits.cpp
+++ b/src/relay/engine_permits.cpp
@@ -121,17 +121,17 @@
                                          const std::optional<PermitSpan>& span) {
   const MonotonicTime now = this->io.runtime.now();
   Kept& own = this->kept(engine);
-  if (!this->in_charge(engine, own)) return {PermitVerdict::kNotTheKeeper, now, now};
+  if (!this->in_charge(engine, own)) return {PermitVerdict::kNotOwner, now, now};
   const MonotonicTime first =
       own.in_charge_since ? *own.in_charge_since + kFirstGrantAfter : MonotonicTime{};
-  if (now < first) return {PermitVerdict::kLater, first, first};
+  if (now < first) return {PermitVerdict::kWaitExceeded, first, first};
   const double heard = this->alone ? 1 : this->peers->share_heard();
   const double rate = *own.a_second * (heard > kMostOfFleet ? 1 : heard);
-  if (!span) return {PermitVerdict::kLater, now, own.schedule.next(now, rate)};
+  if (!span) return {PermitVerdict::kWaitExceeded, now, own.schedule.next(now, rate)};
   const MonotonicTime earliest = now + span->earliest;
   const auto leaves = own.schedule.take(earliest, rate, earliest + span->longest_wait);
   const MonotonicTime next = own.schedule.next(now, rate);
-  if (!leaves) return {PermitVerdict::kLater, next, next};
+  if (!leaves) return {PermitVerdict::kWaitExceeded, next, next};
   return {PermitVerdict::kGranted, *leaves, next};
 }
 
@@ -149,7 +149,7 @@
   const bool granted = grant.verdict == PermitVerdict::kGranted;
   this->io.metrics.count_permit(granted ? "granted" : "later");
   this->io.engines.on_next_permit(
-      engine, grant.verdict == PermitVerdict::kNotTheKeeper ? now + kCallLife : grant.next);
+      engine, grant.verdict == PermitVerdict::kNotOwner ? now + kCallLife : grant.next);
   if (!granted) return handler(std::nullopt);
   handler(SendPermit{engine, grant.leaves, grant.leaves + kPermitLife,
                      this->io.engines.limits().limit(engine).value_or(0)});
@@ -178,8 +178,8 @@
   call.engine = engine;
   call.wants_permit = span.has_value();
   if (span) {
-    call.earliest_ms = to_message_ms(span->earliest);
-    call.longest_wait_ms = to_message_ms(span->longest_wait);
+    call.earliest_send_ms = to_message_ms(span->earliest);
+    call.max_wait_ms = to_message_ms(span->longest_wait);
   }
   call.limit = this->told_limit(engine);
   this->peers->send(node, encode(call));
@@ -209,13 +209,13 @@
   answer.number = call.number;
   answer.engine = call.engine;
   if (this->limited(call.engine)) {
-    const PermitSpan span{std::chrono::milliseconds(call.earliest_ms),
-                          std::chrono::milliseconds(call.longest_wait_ms)};
+    const PermitSpan span{std::chrono::milliseconds(call.earliest_send_ms),
+                          std::chrono::milliseconds(call.max_wait_ms)};
     const Grant grant =
         this->keep(call.engine, call.wants_permit ? std::optional(span) : std::nullopt);
     answer.verdict = grant.verdict;
-    answer.leaves_in_ms = to_message_ms_up(grant.leaves - now);
-    answer.next_in_ms = to_message_ms_up(grant.next - now);
+    answer.send_in_ms = to_message_ms_up(grant.leaves - now);
+    answer.next_permit_in_ms = to_message_ms_up(grant.next - now);
   }
   answer.limit = this->told_limit(call.engine);
   this->peers->send(call.node, encode(answer));
@@ -232,14 +232,14 @@
   waiting.timer.reset();
   const MonotonicTime now = this->io.runtime.now();
   const bool granted = answer.verdict == PermitVerdict::kGranted;
-  const bool knows = answer.verdict != PermitVerdict::kNotTheKeeper;
+  const bool knows = answer.verdict != PermitVerdict::kNotOwner;
   this->io.metrics.count_permit(granted ? "granted" : knows ? "later" : "not_the_keeper");
   const Duration next =
-      knows ? std::chrono::milliseconds(answer.next_in_ms) : Duration(kAskKeeperAgain);
+      knows ? std::chrono::milliseconds(answer.next_permit_in_ms) : Duration(kAskKeeperAgain);
   this->io.engines.on_next_permit(answer.engine, now + next);
   if (!granted) return waiting.handler(std::nullopt);
   // The keeper counts from some moment between the call and its answer.
-  const std::chrono::milliseconds leaves(answer.leaves_in_ms);
+  const std::chrono::milliseconds leaves(answer.send_in_ms);
   waiting.handler(SendPermit{answer.engine, now + leaves, waiting.sent_at + leaves + kPermitLife,
                              answer.limit.a_second.value_or(0)});
 }
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -98,7 +98,7 @@
     std::unique_ptr<Timer> timer;
   };
   struct Grant {
-    PermitVerdict verdict = PermitVerdict::kNotTheKeeper;
+    PermitVerdict verdict = PermitVerdict::kNotOwner;
     MonotonicTime leaves{};
     MonotonicTime next{};
   };
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -137,13 +137,13 @@
 void LoadExchange::take_caches(const tl::expected<std::string, std::string>& answer) {
   const auto snapshot =
       answer ? decode_cache_snapshot(*answer) : tl::make_unexpected(answer.error());
-  if (!snapshot || snapshot->kept.empty()) {
+  if (!snapshot || snapshot->cached_prompts.empty()) {
     pull_timer_ = runtime_.after(settings_.pull_interval, [this] { pull_caches(); });
     return;
   }
-  for (const PromptRead& kept : snapshot->kept) node_.learn_prompt_read(kept);
+  for (const PromptRead& kept : snapshot->cached_prompts) node_.learn_prompt_read(kept);
   log_event(LogArea::kControl, LogLevel::kInfo, "caches_learned",
-            {{"engines", snapshot->kept.size()}, {"bytes", answer->size()}});
+            {{"engines", snapshot->cached_prompts.size()}, {"bytes", answer->size()}});
 }
 
 std::string LoadExchange::answer(const std::string& call) const {
@@ -155,7 +155,7 @@
   CacheSnapshot snapshot;
   for (const auto& [id, engine] : node_.engines().all()) {
     auto parts = engine.cache.kept();
-    if (!parts.empty()) snapshot.kept.push_back({id, std::move(parts)});
+    if (!parts.empty()) snapshot.cached_prompts.push_back({id, std::move(parts)});
   }
   std::string bytes = encode(snapshot);
   return bytes.size() <= kMaxCacheSnapshot ? bytes : std::string();
@@ -190,7 +190,7 @@
   message.crashes = node_.quarantine().take_reports();
   if (!own_progress_) return message;
   const StoreProgress progress = own_progress_();
-  message.seen = progress.seen;
+  message.revisions = progress.seen;
   if (reads_for_others()) message.store_age_ms = to_age_ms(runtime_.now(), progress.latest_at);
   return message;
 }
@@ -233,7 +233,7 @@
   if (is_view(bytes)) return zones_.on_view(bytes);
   if (is_digest(bytes)) return zones_.on_digest(bytes);
   if (is_permit_call(bytes) || is_permit_answer(bytes)) return permits_.on_message(bytes);
-  if (is_usage_call(bytes) || is_told_usage(bytes)) {
+  if (is_usage_call(bytes) || is_usage_counts(bytes)) {
     if (on_usage_message_) on_usage_message_(bytes);
     return;
   }
@@ -250,7 +250,7 @@
   const MessageNumber number{message.boot, message.sequence};
   if (!number.follows(last.number)) return;
   last = {number, now};
-  configurations_.note_peer(message.node, message.seen.configuration);
+  configurations_.note_peer(message.node, message.revisions.configuration);
   if (message.store_age_ms) {
     readers_heard_at_ = std::max(readers_heard_at_, from_age_ms(now, *message.store_age_ms));
   }
@@ -258,9 +258,9 @@
   for (const EngineTrouble& trouble : message.troubles) {
     node_.listener().on_peer_trouble(trouble);
   }
-  for (const ToldLimitNews& news : message.limits) node_.learn_limit(news.engine, news.limit);
+  for (const EngineLimitReport& news : message.limits) node_.learn_limit(news.engine, news.limit);
   node_.quarantine().learn(message.crashes);
-  if (on_revisions_) on_revisions_(message.seen);
+  if (on_revisions_) on_revisions_(message.revisions);
   for (const PromptRead& read : message.reads) node_.learn_prompt_read(read);
 }
 
--- a/src/relay/usage_exchange.cpp
+++ b/src/relay/usage_exchange.cpp
@@ -68,7 +68,7 @@
     const auto call = decode_usage_call(bytes);
     return call ? this->on_call(*call) : log_malformed_message("usage", call.error());
   }
-  const auto more = decode_told_usage(bytes);
+  const auto more = decode_usage_counts(bytes);
   return more ? this->on_told(*more) : log_malformed_message("usage", more.error());
 }
 
@@ -87,7 +87,7 @@
 
 void UsageExchange::on_call(const UsageCall& call) {
   if (!this->peers.is_peer(call.reporter)) return;
-  if (call.agreed) this->time.on_agreed(this->runtime.now(), *call.agreed);
+  if (call.true_time) this->time.on_agreed(this->runtime.now(), *call.true_time);
   const bool first = this->reporter != call.reporter || this->reporter_boot != call.boot;
   this->reporter = call.reporter;
   this->reporter_boot = call.boot;
--- a/src/relay/zone_exchange.cpp
+++ b/src/relay/zone_exchange.cpp
@@ -28,7 +28,7 @@
     news.troubles.push_back({engine_key(trouble.engine), trouble.stage, trouble.kind});
   }
   news.crashes = message.crashes;
-  for (const ToldLimitNews& told : message.limits) {
+  for (const EngineLimitReport& told : message.limits) {
     news.limits.push_back({engine_key(told.engine), told.limit});
   }
   return news;
@@ -120,7 +120,7 @@
   MemberLoad member{{message.boot, message.sequence}, by_key(message.load), message.wants_view};
   if (!this->collector.on_member(this->runtime.now(), message.node, std::move(member))) return;
   this->append_news(this->zone_news, news_of(message));
-  this->note_seen(message.seen);
+  this->note_seen(message.revisions);
   if (message.store_age_ms) this->note_reader(*message.store_age_ms);
 }
 
@@ -131,11 +131,11 @@
   if (!this->peers.is_peer(digest->collector) || digest->zone == this->zone) return;
   const MonotonicTime now = this->runtime.now();
   const bool taken = this->collector.on_zone(now, {digest->zone, digest->collector, digest->number,
-                                                   digest->nodes, std::move(digest->part)});
-  if (taken) this->append_news(this->other_news, digest->news);
+                                                   digest->node_count, std::move(digest->range)});
+  if (taken) this->append_news(this->other_news, digest->updates);
   const auto there = this->other_zones.find(digest->zone);
   if (there != this->other_zones.end()) there->second.on_view(now, digest->collector);
-  this->note_seen(digest->seen);
+  this->note_seen(digest->revisions);
   this->note_reader(digest->store_age_ms);
 }
 
@@ -152,15 +152,15 @@
   this->choice.on_view(now, digest.collector);
   if (this->choice.source() != digest.collector) return;
   if (!another_part) this->note_view(now);
-  this->take_sum(now, digest, view->counted);
-  this->note_seen(digest.seen);
+  this->take_sum(now, digest, view->last_sequence);
+  this->note_seen(digest.revisions);
   this->note_reader(digest.store_age_ms);
 }
 
 void ZoneExchange::take_sum(MonotonicTime now, const LoadDigest& sum, std::uint64_t counted) {
-  this->view_nodes = sum.nodes;
-  this->node.engines().on_fleet_load(now, sum.part, this->told_with(counted));
-  this->take_news(sum.news);
+  this->view_nodes = sum.node_count;
+  this->node.engines().on_fleet_load(now, sum.range, this->told_with(counted));
+  this->take_news(sum.updates);
 }
 
 void ZoneExchange::append_news(EngineNews& news, const EngineNews& more) {
@@ -263,9 +263,9 @@
   const MonotonicTime now = this->runtime.now();
   ++this->sums_sent;
   LoadDigest zone_sum = this->digest(this->zone);
-  zone_sum.nodes = this->collector.zone_nodes();
-  zone_sum.part.load = this->collector.zone_load();
-  zone_sum.news = this->zone_news;
+  zone_sum.node_count = this->collector.zone_nodes();
+  zone_sum.range.load = this->collector.zone_load();
+  zone_sum.updates = this->zone_news;
   this->send_to_zones(now, zone_sum);
 
   EngineNews news = std::exchange(this->zone_news, {});
@@ -276,9 +276,9 @@
   const bool own_source = this->choice.source() == this->self;
   if (subscribers.empty() && !own_source) return;
   LoadDigest fleet_sum = this->digest(ZoneName());
-  fleet_sum.nodes = this->collector.fleet_nodes(now);
-  fleet_sum.part.load = this->collector.fleet_load(now);
-  fleet_sum.news = std::move(news);
+  fleet_sum.node_count = this->collector.fleet_nodes(now);
+  fleet_sum.range.load = this->collector.fleet_load(now);
+  fleet_sum.updates = std::move(news);
   this->send_to_members(subscribers, fleet_sum);
   if (own_source) this->take_own_sum(now, fleet_sum);
 }
@@ -288,7 +288,7 @@
   digest.collector = this->self;
   digest.number = {this->boot, this->sums_sent};
   digest.zone = of_zone;
-  digest.seen = this->seen;
+  digest.revisions = this->seen;
   digest.store_age_ms = to_age_ms(this->runtime.now(), this->store_heard_at);
   return digest;
 }
@@ -315,7 +315,7 @@
   for (const Subscriber& subscriber : subscribers) {
     if (subscriber.node == this->self) continue;
     for (const std::string& part : parts) {
-      this->send(subscriber.node, address_view(subscriber.counted, part));
+      this->send(subscriber.node, encode_view(subscriber.counted, part));
     }
   }
 }
--- a/tests/protocol/configuration_message_test.cpp
+++ b/tests/protocol/configuration_message_test.cpp
@@ -51,34 +51,34 @@
 
 }  // namespace
 
-Test(configuration_message, comes_back_as_it_was) {
+Test(configuration_message, round_trips) {
   const std::string bytes = encode(ConfigurationMessage{42, full_configuration()});
-  const auto read = decode_configuration(bytes);
-  cr_assert(read.has_value());
-  cr_assert_eq(read->revision, 42);
+  const auto decoded = decode_configuration(bytes);
+  cr_assert(decoded.has_value());
+  cr_assert_eq(decoded->revision, 42);
   // Every field is in the bytes: what was read is encoded to the same ones.
-  cr_assert_eq(encode(*read), bytes);
-  cr_assert_eq(read->configuration.tenants->at(0).keys.at(1).expires_at.value(), 1796000000);
-  cr_assert_eq(read->configuration.routes.at(0).split.at(1).weight, 10);
-  cr_assert(read->configuration.services.at(0).scale == full_configuration().services[0].scale);
+  cr_assert_eq(encode(*decoded), bytes);
+  cr_assert_eq(decoded->configuration.tenants->at(0).keys.at(1).expires_at.value(), 1796000000);
+  cr_assert_eq(decoded->configuration.routes.at(0).split.at(1).weight, 10);
+  cr_assert(decoded->configuration.services.at(0).scale == full_configuration().services[0].scale);
 }
 
-Test(configuration_message, a_configuration_without_tenants_has_none) {
+Test(configuration_message, round_trips_without_tenants) {
   auto configuration = full_configuration();
   configuration.tenants.reset();
-  const auto read = decode_configuration(encode(ConfigurationMessage{1, configuration}));
-  cr_assert_not(read->configuration.tenants.has_value());
+  const auto decoded = decode_configuration(encode(ConfigurationMessage{1, configuration}));
+  cr_assert_not(decoded->configuration.tenants.has_value());
 }
 
-Test(configuration_message, survives_any_bytes) {
+Test(configuration_message, tolerates_corrupted_bytes) {
   std::mt19937 random(20261204);  // NOLINT: repeatable on purpose
   const std::string whole = encode(ConfigurationMessage{42, full_configuration()});
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 5000; ++i) {
     std::string changed = whole;
     changed[random() % changed.size()] = static_cast<char>(random() % 256);
     if (i % 3 == 0) changed.resize(random() % changed.size());
-    if (!decode_configuration(changed)) ++refused;
+    if (!decode_configuration(changed)) ++rejected;
   }
-  cr_assert_gt(refused, 0);
+  cr_assert_gt(rejected, 0);
 }
--- a/tests/protocol/configuration_summary_test.cpp
+++ b/tests/protocol/configuration_summary_test.cpp
@@ -18,12 +18,12 @@
 namespace {
 
 Route route(int number) {
-  Route made;
-  made.name = "r" + std::to_string(number);
-  made.host = "h" + std::to_string(number % 7);
-  made.path_prefix = "/" + std::to_string(number) + "/";
-  made.split = {{ServiceName("m"), 1}};
-  return made;
+  Route result;
+  result.name = "r" + std::to_string(number);
+  result.host = "h" + std::to_string(number % 7);
+  result.path_prefix = "/" + std::to_string(number) + "/";
+  result.split = {{ServiceName("m"), 1}};
+  return result;
 }
 
 RouteConfiguration with_routes(int count) {
@@ -34,28 +34,28 @@
   return configuration;
 }
 
-/// @return what a node with `held` makes of the answer of one with `newer`; asserts that it is the
+/// @return what a node with `base` makes of the answer of one with `newer`; asserts that it is the
 /// same as the newer one. @param bytes set to the size of the answer.
-void expect_handed_on(const RouteConfiguration& held, const RouteConfiguration& newer,
-                      std::size_t* bytes = nullptr) {
-  const auto known = summarize(held, 10);
-  const auto own = summarize(newer, 12);
-  const std::string answer = encode(part_for(known, {12, newer}, own));
+void expect_delta_applies(const RouteConfiguration& base, const RouteConfiguration& newer,
+                          std::size_t* bytes = nullptr) {
+  const auto known = summarize(base, 10);
+  const auto summary = summarize(newer, 12);
+  const std::string answer = encode(make_delta(known, {12, newer}, summary));
   if (bytes != nullptr) *bytes = answer.size();
   auto message = decode_configuration(answer);
   cr_assert(message.has_value());
-  const auto whole = complete(std::move(*message), held);
+  const auto whole = apply_delta(std::move(*message), base);
   cr_assert(whole.has_value(), "%s", whole ? "" : whole.error().c_str());
   cr_assert_eq(whole->revision, 12);
   cr_assert_eq(whole->configuration.version, newer.version);
   cr_assert_eq(whole->configuration.routes.size(), newer.routes.size());
-  cr_assert(summarize(whole->configuration, 12) == own);
+  cr_assert(summarize(whole->configuration, 12) == summary);
   cr_assert_eq(whole->configuration.services.size(), newer.services.size());
 }
 
 }  // namespace
 
-Test(configuration_summary, tells_every_field_of_a_route) {
+Test(configuration_summary, covers_every_route_field) {
   const std::vector<std::function<void(Route&)>> changes = {
       [](Route& r) { r.name = "x"; },
       [](Route& r) { r.host = "x"; },
@@ -79,11 +79,11 @@
     RouteConfiguration after = before;
     changes[i](after.routes[20]);
     cr_assert_not(summarize(after, 1).same_content(summarize(before, 1)), "field %zu", i);
-    expect_handed_on(before, after);
+    expect_delta_applies(before, after);
   }
 }
 
-Test(configuration_summary, tells_every_field_of_a_tenant) {
+Test(configuration_summary, covers_every_tenant_field) {
   RouteConfiguration before = with_routes(3);
   before.tenants = {{TenantName("a"), {{"k1", 5}}, 1}, {TenantName("b"), {}, std::nullopt}};
   const std::vector<std::function<void(std::vector<DeclaredTenant>&)>> changes = {
@@ -101,36 +101,36 @@
     RouteConfiguration after = before;
     changes[i](*after.tenants);
     cr_assert_not(summarize(after, 1).same_content(summarize(before, 1)), "field %zu", i);
-    expect_handed_on(before, after);
+    expect_delta_applies(before, after);
   }
-  RouteConfiguration without = before;
-  without.tenants.reset();
-  RouteConfiguration empty = before;
-  empty.tenants->clear();
-  cr_assert_not(summarize(without, 1).same_content(summarize(empty, 1)),
+  RouteConfiguration without_tenants = before;
+  without_tenants.tenants.reset();
+  RouteConfiguration no_tenant_declared = before;
+  no_tenant_declared.tenants->clear();
+  cr_assert_not(summarize(without_tenants, 1).same_content(summarize(no_tenant_declared, 1)),
                 "without tenants nobody needs a key; with none of them nobody has one");
-  expect_handed_on(before, without);
+  expect_delta_applies(before, without_tenants);
 }
 
-Test(configuration_summary, does_not_depend_on_the_order) {
+Test(configuration_summary, ignores_route_order) {
   const RouteConfiguration one = with_routes(30);
   RouteConfiguration other = one;
   std::reverse(other.routes.begin(), other.routes.end());
   cr_assert(summarize(one, 1) == summarize(other, 1));
 }
 
-Test(configuration_summary, lets_a_change_of_one_route_go_in_some_kilobytes) {
+Test(configuration_summary, delta_of_one_route_takes_a_few_kilobytes) {
   const RouteConfiguration before = with_routes(1450);
   RouteConfiguration after = before;
   after.routes[700].timeout = 7s;
-  std::size_t part = 0;
-  expect_handed_on(before, after, &part);
+  std::size_t delta = 0;
+  expect_delta_applies(before, after, &delta);
   const std::size_t whole = encode(ConfigurationMessage{12, after}).size();
-  cr_assert_leq(part, 8000, "%zu of %zu", part, whole);
-  cr_assert_geq(whole, 20 * part);
+  cr_assert_leq(delta, 8000, "%zu of %zu", delta, whole);
+  cr_assert_geq(whole, 20 * delta);
 }
 
-Test(configuration_summary, brings_any_configuration_to_any_other) {
+Test(configuration_summary, delta_transforms_any_configuration) {
   SHUNTBANK_PROPERTY("what was asked for comes out", [] {
     const auto count = *rc::gen::inRange(0, 60);
     const RouteConfiguration before = with_routes(count);
@@ -143,29 +143,29 @@
     for (Route& changed : after.routes) {
       if (*rc::gen::inRange(0, 4) == 0) changed.max_attempts = 5;
     }
-    expect_handed_on(before, after);
+    expect_delta_applies(before, after);
   });
 }
 
-Test(configuration_summary, is_not_taken_for_a_part_of_another_configuration) {
-  const RouteConfiguration asked_with = with_routes(40);
-  RouteConfiguration newer = asked_with;
+Test(configuration_summary, rejects_a_delta_for_another_base) {
+  const RouteConfiguration summarized = with_routes(40);
+  RouteConfiguration newer = summarized;
   newer.routes[3].timeout = 9s;
-  const auto part = part_for(summarize(asked_with, 10), {12, newer}, summarize(newer, 12));
+  const auto delta = make_delta(summarize(summarized, 10), {12, newer}, summarize(newer, 12));
   // Between the question and the answer another one came into force.
-  RouteConfiguration held = asked_with;
-  held.routes[30].timeout = 8s;
-  cr_assert_not(complete(part, held).has_value());
+  RouteConfiguration base = summarized;
+  base.routes[30].timeout = 8s;
+  cr_assert_not(apply_delta(delta, base).has_value());
 }
 
-Test(configuration_summary, asks_in_a_call_that_comes_back_as_it_was) {
+Test(configuration_summary, call_round_trips) {
   const ConfigurationCall call{summarize(with_routes(9), 77), 4096};
   const std::string bytes = encode(call);
   cr_assert(is_configuration_call(bytes));
-  const auto read = decode_configuration_call(bytes);
-  cr_assert(read.has_value());
-  cr_assert(read->known == call.known);
-  cr_assert_eq(read->most_bytes, 4096);
+  const auto decoded = decode_configuration_call(bytes);
+  cr_assert(decoded.has_value());
+  cr_assert(decoded->known == call.known);
+  cr_assert_eq(decoded->max_bytes, 4096);
   cr_assert_leq(bytes.size(), 800);
   std::mt19937 random(5);
   for (std::size_t length = 0; length < bytes.size(); ++length) {
--- a/tests/protocol/earlier_messages_test.cpp
+++ b/tests/protocol/earlier_messages_test.cpp
@@ -25,7 +25,7 @@
     "c100000000000000429aa26e320304a27a31059200ceffffffff944d01ccc8039391934d0bcd038491934d01c291"
     "9604000005001e921516cd0190";
 constexpr const char* kUsageCall = "5593a26e3107ce0001e240";
-constexpr const char* kToldUsage = "569aa26e310702cd03e8cd03846403000192a1740c";
+constexpr const char* kUsageCounts = "569aa26e310702cd03e8cd03846403000192a1740c";
 constexpr const char* kSnapshot = "81a46b6570749192a2653191920bcd0384";
 
 std::string from_hexadecimal(std::string_view text) {
@@ -55,7 +55,7 @@
       {EngineId("e1"), relay::EngineStage::kDecode, relay::TroubleKind::kMisdirected},
       {EngineId("e2"), relay::EngineStage::kNone, relay::TroubleKind::kLeaving}};
   message.crashes = {crash()};
-  message.seen = {21, 22};
+  message.revisions = {21, 22};
   message.store_age_ms = 400;
   message.to_collector = true;
   message.wants_view = true;
@@ -67,12 +67,12 @@
   sum.collector = NodeId("n2");
   sum.number = {3, 4};
   sum.zone = ZoneName("z1");
-  sum.nodes = 5;
-  sum.part.load[77] = {1, 200, 3};
-  sum.news.reads = {{77, {{11, 900}}}};
-  sum.news.troubles = {{77, relay::EngineStage::kPrefill, relay::TroubleKind::kUnusable}};
-  sum.news.crashes = {crash()};
-  sum.seen = {21, 22};
+  sum.node_count = 5;
+  sum.range.load[77] = {1, 200, 3};
+  sum.updates.reads = {{77, {{11, 900}}}};
+  sum.updates.troubles = {{77, relay::EngineStage::kPrefill, relay::TroubleKind::kUnusable}};
+  sum.updates.crashes = {crash()};
+  sum.revisions = {21, 22};
   sum.store_age_ms = 400;
   return sum;
 }
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-Test(earlier_messages, are_read) {
+Test(earlier_messages, are_decoded) {
   const auto message = decode_load_message(from_hexadecimal(kLoad));
   cr_assert(message.has_value());
   cr_assert(message->load == load_message().load);
@@ -97,23 +97,24 @@
   cr_assert(decode_digest(from_hexadecimal(kDigest)).value() == digest());
   const auto view = decode_view(from_hexadecimal(kView));
   cr_assert(view->digest == digest());
-  cr_assert_eq(view->counted, 66);
+  cr_assert_eq(view->last_sequence, 66);
   cr_assert(decode_usage_call(from_hexadecimal(kUsageCall)).value() == usage_call());
-  cr_assert_eq(decode_told_usage(from_hexadecimal(kToldUsage))->counts.at(TenantName("t")), 12);
-  cr_assert_eq(decode_cache_snapshot(from_hexadecimal(kSnapshot))->kept.at(0).parts.at(0).id, 11);
+  cr_assert_eq(decode_usage_counts(from_hexadecimal(kUsageCounts))->counts.at(TenantName("t")), 12);
+  cr_assert_eq(
+      decode_cache_snapshot(from_hexadecimal(kSnapshot))->cached_prompts.at(0).parts.at(0).id, 11);
 }
 
-Test(earlier_messages, are_what_is_sent_where_nothing_is_new) {
+Test(earlier_messages, match_the_encoding_without_new_fields) {
   cr_assert(encode(load_message()) == from_hexadecimal(kLoad));
   const std::string sum = encode_parts(digest()).front();
   cr_assert(sum == from_hexadecimal(kDigest));
-  cr_assert(address_view(66, sum) == from_hexadecimal(kView));
+  cr_assert(encode_view(66, sum) == from_hexadecimal(kView));
   cr_assert(encode(usage_call()) == from_hexadecimal(kUsageCall));
   const CacheSnapshot snapshot{{{EngineId("e1"), {{11, 900}}}}};
   cr_assert(encode(snapshot) == from_hexadecimal(kSnapshot));
 }
 
-Test(earlier_messages, are_in_what_is_sent_with_limits) {
+Test(earlier_messages, are_contained_in_messages_with_limits) {
   LoadMessage message = load_message();
   message.limits = {{EngineId("e1"), {1.3, 20}}, {EngineId("e2"), {std::nullopt, 0}}};
   json document = parsed(encode(message));
@@ -121,7 +122,7 @@
   cr_assert(document == parsed(from_hexadecimal(kLoad)));
   cr_assert(decode_load_message(encode(message))->limits == message.limits);
   LoadDigest sum = digest();
-  sum.news.limits = {{77, {1.3, 20}}};
+  sum.updates.limits = {{77, {1.3, 20}}};
   const std::string bytes = encode_parts(sum).front();
   cr_assert(is_digest(bytes));
   cr_assert(decode_digest(bytes).value() == sum);
--- a/tests/protocol/lease_codec_test.cpp
+++ b/tests/protocol/lease_codec_test.cpp
@@ -5,12 +5,12 @@
 using namespace shuntbank;
 using nlohmann::json;
 
-Test(lease_codec, reads_what_it_wrote) {
+Test(lease_codec, round_trips) {
   const LeaseRecord record{NodeId("n"), 7, "w", std::chrono::seconds(8)};
   cr_assert(lease_from_json(json::parse(lease_to_json(record).dump())) == record);
 }
 
-Test(lease_codec, survives_records_that_cannot_be_read) {
+Test(lease_codec, tolerates_malformed_records) {
   for (const char* text : {"null", "[]", "5", R"({"holder":1,"epoch":"x","length":{}})"}) {
     const LeaseRecord record = lease_from_json(json::parse(text));
     cr_assert_eq(record.epoch, 0, "%s", text);
--- a/tests/protocol/messages_test.cpp
+++ b/tests/protocol/messages_test.cpp
@@ -23,14 +23,14 @@
 
 }  // namespace
 
-Test(messages, survive_the_wire) {
-  const auto back = decode(encode(full_heartbeat()));
-  cr_assert(back.has_value(), "%s", back.error().c_str());
-  cr_assert(std::get<Heartbeat>(*back).members == full_heartbeat().members);
+Test(messages, round_trip) {
+  const auto decoded = decode(encode(full_heartbeat()));
+  cr_assert(decoded.has_value(), "%s", decoded.error().c_str());
+  cr_assert(std::get<Heartbeat>(*decoded).members == full_heartbeat().members);
   cr_assert_eq(std::get<ConfigPull>(*decode(encode(ConfigPull{7}))).have, 7);
 }
 
-Test(messages, the_fullest_heartbeat_fits_a_datagram) {
+Test(messages, largest_heartbeat_fits_a_datagram) {
   Heartbeat heartbeat = full_heartbeat();
   EngineFact fact;
   fact.engine = EngineId("oraculo-large-640");
@@ -50,7 +50,7 @@
   cr_assert(!decode(json.dump()).has_value());
 }
 
-Test(messages, no_text_makes_the_decoder_fail_badly) {
+Test(messages, decoder_tolerates_corrupted_text) {
   const std::string good = encode(full_heartbeat());
   SHUNTBANK_PROPERTY("mutated messages decode or are refused", [&good] {
     std::string text = good;
--- a/tests/protocol/permit_message_test.cpp
+++ b/tests/protocol/permit_message_test.cpp
@@ -20,28 +20,28 @@
 
 }  // namespace
 
-Test(permit_message, comes_out_as_it_went_in) {
+Test(permit_message, round_trips) {
   cr_assert(decode_permit_call(encode(call())).value() == call());
   cr_assert(decode_permit_answer(encode(answer())).value() == answer());
 }
 
-Test(permit_message, is_taken_for_no_other_message) {
+Test(permit_message, is_distinguished_from_other_messages) {
   for (const std::string& bytes : {encode(call()), encode(answer())}) {
     cr_assert_not(is_view(bytes) || is_digest(bytes));
-    cr_assert_not(is_usage_call(bytes) || is_told_usage(bytes));
+    cr_assert_not(is_usage_call(bytes) || is_usage_counts(bytes));
     cr_assert_not(decode_load_message(bytes).has_value(), "so that an older node drops it");
   }
   cr_assert_not(is_permit_answer(encode(call())));
   cr_assert_not(is_permit_call(encode(answer())));
 }
 
-Test(permit_message, grants_nothing_where_it_cannot_be_read) {
+Test(permit_message, grants_nothing_when_malformed) {
   const std::string whole = encode(answer());
   for (std::size_t size = 1; size < whole.size(); ++size) {
     cr_assert_not(decode_permit_answer(whole.substr(0, size)).has_value());
   }
   PermitAnswer later = answer();
   later.verdict = static_cast<PermitVerdict>(7);
-  const auto read = decode_permit_answer(encode(later));
-  cr_assert(read->verdict == PermitVerdict::kNotTheKeeper);
+  const auto decoded = decode_permit_answer(encode(later));
+  cr_assert(decoded->verdict == PermitVerdict::kNotOwner);
 }
--- a/tests/protocol/usage_message_test.cpp
+++ b/tests/protocol/usage_message_test.cpp
@@ -8,30 +8,30 @@
 
 namespace {
 
-usage::ToldUsage told_of(int tenants) {
-  usage::ToldUsage told;
-  told.node = NodeId("n1");
-  told.boot = 0xFFFFFFFFFFULL;
-  told.sequence = 9;
-  told.clock = 1'796'000'000'123;
-  told.counted_until = 1'796'000'000'000;
-  told.counting_since = 5;
-  told.window = 359200000;
-  for (int i = 0; i < tenants; ++i) told.counts[TenantName("tenant-" + std::to_string(i))] = 3;
-  return told;
+usage::ToldUsage window_counts(int tenants) {
+  usage::ToldUsage message;
+  message.node = NodeId("n1");
+  message.boot = 0xFFFFFFFFFFULL;
+  message.sequence = 9;
+  message.clock = 1'796'000'000'123;
+  message.counted_until = 1'796'000'000'000;
+  message.counting_since = 5;
+  message.window = 359200000;
+  for (int i = 0; i < tenants; ++i) message.counts[TenantName("tenant-" + std::to_string(i))] = 3;
+  return message;
 }
 
 }  // namespace
 
 Test(usage_message, parts_fit_into_datagrams_and_hold_every_count_once) {
   for (const int tenants : {0, 1, 59, 60, 61, 400}) {
-    const usage::ToldUsage whole = told_of(tenants);
+    const usage::ToldUsage whole = window_counts(tenants);
     usage::TenantCounts sum;
     const auto messages = encode_parts(whole);
     for (const std::string& bytes : messages) {
       cr_assert_leq(bytes.size(), 1400);
-      cr_assert(is_told_usage(bytes));
-      const auto part = decode_told_usage(bytes);
+      cr_assert(is_usage_counts(bytes));
+      const auto part = decode_usage_counts(bytes);
       cr_assert(part.has_value());
       cr_assert_eq(part->parts, messages.size());
       cr_assert_eq(part->window, whole.window);
@@ -41,25 +41,25 @@
   }
 }
 
-Test(usage_message, a_call_comes_back_with_and_without_true_time) {
-  for (const auto& agreed :
+Test(usage_message, call_round_trips_with_and_without_true_time) {
+  for (const auto& true_time :
        {std::optional<usage::UnixMs>(1'796'000'000'123), std::optional<usage::UnixMs>()}) {
-    const UsageCall call{NodeId("n1"), 7, agreed};
+    const UsageCall call{NodeId("n1"), 7, true_time};
     const std::string bytes = encode(call);
     cr_assert(is_usage_call(bytes));
     cr_assert(decode_usage_call(bytes).value() == call);
   }
 }
 
-Test(usage_message, survives_any_bytes) {
+Test(usage_message, tolerates_corrupted_bytes) {
   std::mt19937 random(20261205);  // NOLINT: repeatable on purpose
-  const std::string whole = encode_parts(told_of(20)).front();
-  int refused = 0;
+  const std::string whole = encode_parts(window_counts(20)).front();
+  int rejected = 0;
   for (int i = 0; i < 5000; ++i) {
     std::string changed = whole;
     changed[random() % changed.size()] = static_cast<char>(random() % 256);
-    if (!decode_told_usage(changed)) ++refused;
-    if (!decode_usage_call(changed)) ++refused;
+    if (!decode_usage_counts(changed)) ++rejected;
+    if (!decode_usage_call(changed)) ++rejected;
   }
-  cr_assert_gt(refused, 0);
+  cr_assert_gt(rejected, 0);
 }
