--- a/src/protocol/configuration_message.cpp
+++ b/src/protocol/configuration_message.cpp
@@ -213,7 +213,7 @@
   return std::find(groups.begin(), groups.end(), group) != groups.end();
 }
 
-/// Stands before the bytes of a call, which share a port with other calls.
+/// Distinguishes the call from others on the same port.
 constexpr std::string_view kCallPrefix = "configuration?";
 
 }  // namespace
@@ -245,7 +245,7 @@
   }
   if (delta.tenants_unchanged) message.configuration.tenants = base.tenants;
   if (summarize(message.configuration, message.revision).same_content(delta.result)) return message;
-  return tl::make_unexpected(std::string("what is held here is not what the answer builds on"));
+  return tl::make_unexpected(std::string("the local configuration is not the base of the delta"));
 }
 
 std::string encode(const ConfigurationCall& call) {
--- a/src/protocol/configuration_message.hpp
+++ b/src/protocol/configuration_message.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A configuration as one node hands it to another: whole, or as what the other lacks of it. Keys
-/// go as the hashes that a node keeps of them. MessagePack; unknown fields are ignored.
+/// Configurations exchanged between nodes, complete or as a delta to the receiver's. Tenant keys
+/// are sent as hashes. MessagePack; unknown fields are ignored.
 #pragma once
 
 #include <cstddef>
@@ -16,45 +16,45 @@
 
 namespace shuntbank {
 
-/// What a message leaves out, since the node that asked for it has it.
+/// Describes what a message leaves out because the receiver has it.
 struct ConfigurationDelta {
-  /// Only the routes of these groups are told. All others are as in what the node summarized.
+  /// Route groups that the message contains; all others are unchanged.
   std::vector<std::size_t> changed_groups;
-  bool tenants_unchanged = false;  ///< The same holds for tenants.
-  ConfigurationSummary result;     ///< Of the configuration that comes out.
+  bool tenants_unchanged = false;  ///< The message contains no tenants.
+  ConfigurationSummary result;     ///< Summary of the complete configuration.
 };
 
-/// A configuration and the revision at which the store holds it.
+/// A configuration and its revision in the store.
 struct ConfigurationMessage {
   std::uint64_t revision = 0;
   relay::RouteConfiguration configuration;
-  std::optional<ConfigurationDelta> delta = std::nullopt;  ///< Unset: it is whole.
+  std::optional<ConfigurationDelta> delta = std::nullopt;  ///< Unset: complete.
 };
 
-/// Largest message, in bytes: as much as peers take at once.
+/// Largest message that peers accept, in bytes.
 constexpr std::size_t kMaxConfigurationMessage = 4UL << 20U;
 
-/// The call that is answered by a configuration newer than the one that it summarizes.
+/// Requests a configuration newer than the one that it summarizes.
 struct ConfigurationCall {
   ConfigurationSummary known;
-  /// A longer answer is not wanted: what is on its way from elsewhere comes before it.
+  /// Largest useful answer; an update from elsewhere would arrive before a longer one.
   std::size_t max_bytes = 0;
 };
 
-/// @return the part of `message` that a node lacks which holds what `known` summarizes. The message
-/// is whole. @param own its summary.
+/// @return `message`, which is complete, without what `known` shows the receiver to have.
+/// @param summary that of `message`.
 ConfigurationMessage make_delta(const ConfigurationSummary& known, ConfigurationMessage message,
                                 const ConfigurationSummary& summary);
 
-/// Completes a message that tells a part. @param held the configuration that was summarized.
-/// @return the whole, or why it cannot be had: what is held is not what was summarized.
+/// Completes a delta. @param base the configuration that the receiver's call summarized.
+/// @return the complete message, or an error if `base` is not what the delta was made for.
 tl::expected<ConfigurationMessage, std::string> apply_delta(ConfigurationMessage message,
                                                             const relay::RouteConfiguration& base);
 
 std::string encode(const ConfigurationMessage& message);
 std::string encode(const ConfigurationCall& call);
 
-/// @return whether the bytes are such a call.
+/// @return whether the bytes are a ConfigurationCall.
 bool is_configuration_call(std::string_view bytes);
 
 /// @return the call, or what is wrong with the bytes.
--- a/src/protocol/configuration_summary.cpp
+++ b/src/protocol/configuration_summary.cpp
@@ -9,7 +9,7 @@
 namespace shuntbank {
 namespace {
 
-/// Writes fields one after the other so that no two values give the same bytes.
+/// Hashes a sequence of fields, serialized without ambiguity.
 class FieldHasher {
  public:
   void add(std::string_view text) {
@@ -74,12 +74,12 @@
                                std::uint64_t revision) {
   ConfigurationSummary summary;
   summary.revision = revision;
-  // Sums do not depend on the order, which says nothing in a configuration.
+  // Sums are independent of the order, which has no meaning in a configuration.
   for (const relay::Route& route : configuration.routes) {
     summary.group_hashes[group_of(route)] += hash_of(route);
   }
   if (!configuration.tenants) return summary;
-  summary.tenants_hash = 1;  // No tenant at all is not the same as a system without tenants.
+  summary.tenants_hash = 1;  // Distinguishes an empty list of tenants from none.
   for (const relay::DeclaredTenant& tenant : *configuration.tenants) {
     summary.tenants_hash += hash_of(tenant);
   }
--- a/src/protocol/configuration_summary.hpp
+++ b/src/protocol/configuration_summary.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// A short summary of a configuration, by which two nodes find out what one of them lacks: they
-/// hand each other the routes that differ instead of all.
+/// Hashes of a configuration, by which nodes send each other only the routes that differ.
 #pragma once
 
 #include <array>
@@ -10,25 +9,25 @@
 
 namespace shuntbank {
 
-/// Groups that routes are hashed into. A change of one route of 1,450 is told by the 23 routes of
-/// its group, 5 KB in place of 232; the summary itself takes 0.6 KB.
+/// Groups that routes are hashed into. More of them make deltas, which consist of whole groups,
+/// smaller and summaries larger.
 constexpr std::size_t kRouteGroups = 64;
 
-/// What a configuration holds, by hashes.
+/// Hashes of a configuration's content.
 struct ConfigurationSummary {
-  std::uint64_t revision = 0;  ///< At which the store holds it; 0: none is known.
+  std::uint64_t revision = 0;                              ///< In the store; 0: unknown.
   std::array<std::uint64_t, kRouteGroups> group_hashes{};  ///< Over the routes of each group.
-  std::uint64_t tenants_hash = 0;  ///< Over all tenants with their keys' hashes.
+  std::uint64_t tenants_hash = 0;  ///< Over all tenants and their key hashes.
 
   bool operator==(const ConfigurationSummary&) const = default;
 
-  /// @return whether both summarize the same routes and tenants, whatever their revisions.
+  /// @return whether routes and tenants are the same, regardless of the revisions.
   bool same_content(const ConfigurationSummary& other) const {
     return this->group_hashes == other.group_hashes && this->tenants_hash == other.tenants_hash;
   }
 };
 
-/// @return the group of a route. Depends on its host and path alone.
+/// @return the group of a route, which depends only on its host and path.
 std::size_t group_of(const relay::Route& route);
 
 /// @return the summary of a configuration that the store holds at `revision`.
--- a/src/protocol/crash_report_codec.hpp
+++ b/src/protocol/crash_report_codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Crash reports as they stand in the messages between nodes.
+/// Encoding of crash reports in messages between nodes.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,13 @@
 
 namespace shuntbank {
 
-/// Bytes of one report in MessagePack, at most.
+/// Largest size of one report in MessagePack, in bytes.
 constexpr std::size_t kMaxCrashReportBytes = 36;
 
 nlohmann::json to_json(const std::vector<relay::CrashReport>& reports);
 
-/// @return the reports; those of a kind that this version does not know are left out.
-/// @throw nlohmann::json::exception when they cannot be read.
+/// @return the reports, without those of unknown kinds.
+/// @throw nlohmann::json::exception if the list is malformed.
 std::vector<relay::CrashReport> crash_reports_from_json(const nlohmann::json& list);
 
 }  // namespace shuntbank
--- a/src/protocol/lease_codec.cpp
+++ b/src/protocol/lease_codec.cpp
@@ -5,7 +5,7 @@
 namespace shuntbank {
 namespace {
 
-/// Taken for the length of a lease that does not say its own.
+/// Assumed for a lease whose own duration is missing or malformed.
 constexpr Duration kFallbackLeaseDuration = std::chrono::seconds(30);
 
 std::string text_of(const nlohmann::json& json, const char* key) {
--- a/src/protocol/lease_codec.hpp
+++ b/src/protocol/lease_codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The stored form of a lease as JSON, for every store that holds leases.
+/// JSON encoding of leases, used by every store that holds them.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,8 +10,8 @@
 
 nlohmann::json lease_to_json(const LeaseRecord& record);
 
-/// Reads a lease. What cannot be read counts as held by nobody known for 30 s; the epoch is kept
-/// where it can be read, so that it only grows.
+/// Decodes a lease. A malformed holder becomes an empty one, a malformed duration 30 s. A readable
+/// epoch is always kept, so that epochs never decrease.
 LeaseRecord lease_from_json(const nlohmann::json& json);
 
 }  // namespace shuntbank
--- a/src/protocol/load_digest.cpp
+++ b/src/protocol/load_digest.cpp
@@ -14,17 +14,16 @@
 
 using nlohmann::json;
 
-/// First byte of a message. MessagePack never begins a value with the first, and the documents of
-/// load messages are maps, which the second is not.
+/// First byte of a message. MessagePack never uses the first one; the second begins an array,
+/// while load messages are maps.
 constexpr char kViewMark = '\xc1';
 constexpr char kDigestMark = '\x9a';  // An array of ten.
 constexpr std::size_t kSequenceBytes = 8;
 
-/// Of a digest without load and news: names, numbers and revisions. Names of nodes and zones are
-/// well below 100 bytes.
+/// A digest without load and updates; names of nodes and zones are shorter than 100 bytes.
 constexpr std::size_t kMaxHeaderBytes = 300;
 
-/// @return bytes of a number in MessagePack.
+/// @return the size of a number in MessagePack, in bytes.
 std::size_t packed_size(std::uint64_t number) {
   if (number < 128) return 1;
   if (number < 256) return 2;
@@ -133,7 +132,7 @@
   return limits;
 }
 
-/// Lists that are mostly empty come last and are left out then.
+/// Lists that are usually empty come last, so that they can be omitted.
 json updates_to_json(const relay::EngineNews& updates) {
   json lists = {reads_to_json(updates.reads), troubles_to_json(updates.troubles),
                 to_json(updates.crashes)};
@@ -157,7 +156,7 @@
   return bytes;
 }
 
-/// Fills one message after the other with load, and then with news.
+/// Splits a digest into messages that hold the load first and then the updates.
 class Splitter {
  public:
   explicit Splitter(const LoadDigest& own_whole) : whole(own_whole) {
@@ -184,6 +183,8 @@
     return digest;
   }
 
+  /// Counts `added_bytes` towards the current message, or towards a new one if it is full.
+  /// @return whether a new message has to begin.
   bool overflows(std::size_t added_bytes) {
     constexpr std::size_t kCapacity = kMaxLoadMessage - kMaxHeaderBytes - kSequenceBytes;
     const bool is_new_part = this->bytes > 0 && this->bytes + added_bytes > kCapacity;
@@ -201,7 +202,7 @@
     this->part.range.load[key] = work;
   }
 
-  /// A message that holds news only covers no engines.
+  /// A message that holds only updates covers an empty range of engines.
   void begin_updates_part() {
     this->parts.push_back(encode(this->part));
     this->part = this->empty_part();
@@ -281,7 +282,7 @@
     digest.range.load = load_from_json(document.at(6));
     digest.updates.reads = reads_from_json(document.at(7).at(0));
     digest.updates.troubles = troubles_from_json(document.at(7).at(1));
-    // Nodes that run earlier versions tell of none.
+    // Earlier versions omit these lists.
     if (document.at(7).size() > 2)
       digest.updates.crashes = crash_reports_from_json(document.at(7).at(2));
     if (document.at(7).size() > 3) digest.updates.limits = limits_from_json(document.at(7).at(3));
--- a/src/protocol/load_message.hpp
+++ b/src/protocol/load_message.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// What relay nodes tell each other: the work that each has under way at the engines, and the
-/// prompts that engines have read for it. Sent as a datagram in MessagePack; unknown fields are
-/// ignored.
+/// Load reports between relay nodes: requests in flight at the engines, and prompts that engines
+/// have prefilled. Datagrams in MessagePack; unknown fields are ignored.
 #pragma once
 
 #include <cstdint>
@@ -26,36 +25,36 @@
   bool operator==(const EngineLimitReport&) const = default;
 };
 
-/// One node's work. Whole each time, so that a lost message does not matter.
+/// One node's load. Each message holds all of it, so that a lost one does not matter.
 struct LoadMessage {
   NodeId node;
-  std::uint64_t boot = 0;      ///< Drawn at the start of the process.
-  std::uint64_t sequence = 0;  ///< Rises with each message of one start.
+  std::uint64_t boot = 0;      ///< Random number of the process.
+  std::uint64_t sequence = 0;  ///< Increases with each message of a process.
   std::map<EngineId, relay::PeerLoad> load;
   std::vector<relay::PromptRead> reads;        ///< Since the last message.
   std::vector<relay::EngineTrouble> troubles;  ///< The same.
   std::vector<EngineLimitReport> limits;       ///< The same.
-  std::vector<relay::CrashReport> crashes;     ///< What is to be told now.
-  relay::CatalogRevisions revisions;  ///< How far the node has come in the store's changes.
-  /// How long ago the store confirmed them, in milliseconds, where the node reads it for others.
+  std::vector<relay::CrashReport> crashes;     ///< Reports that are due.
+  relay::CatalogRevisions revisions;           ///< Newest store revisions that the node has seen.
+  /// Milliseconds since the store confirmed them; set by store readers only.
   std::optional<std::uint32_t> store_age_ms;
-  bool to_collector = false;  ///< The receiver is to sum it up with that of others.
+  bool to_collector = false;  ///< The receiver is to add it to its sum.
   bool wants_view = false;    ///< The receiver is to send the sum back.
 };
 
-/// What a node that has just started asks of another: the prompts that engines keep.
+/// Prompts cached at the engines, requested by a node that has just started.
 struct CacheSnapshot {
   std::vector<relay::PromptRead>
-      cached_prompts;  ///< One entry an engine; least recently used first.
+      cached_prompts;  ///< One entry per engine; least recently used first.
 };
 
-/// Largest message, in bytes; stays below what one datagram of the usual links carries.
+/// Largest message, in bytes; fits into one datagram on common links.
 constexpr std::size_t kMaxLoadMessage = 1400;
 
 /// Largest snapshot, in bytes.
 constexpr std::size_t kMaxCacheSnapshot = 4UL << 20U;
 
-/// The call that is answered by a snapshot.
+/// Requests a snapshot.
 constexpr std::string_view kSnapshotCall = "caches";
 
 std::string encode(const LoadMessage& message);
--- a/src/protocol/marked_message.hpp
+++ b/src/protocol/marked_message.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Datagrams between nodes that are told apart by their first byte: a mark that MessagePack never
-/// uses for a document of the other messages, which are maps or arrays, and then a document.
+/// Datagrams between nodes that consist of a mark byte, which identifies the type, and a document
+/// in MessagePack. Other messages are maps or arrays, which never begin with a mark.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -19,7 +19,7 @@
   return bytes;
 }
 
-/// @return the document behind the mark. Throws as nlohmann/json does when there is none.
+/// @return the document after the mark. @throw nlohmann::json::exception if it is malformed.
 inline nlohmann::json decode_marked(std::string_view bytes) {
   bytes.remove_prefix(1);
   return nlohmann::json::from_msgpack(bytes.begin(), bytes.end());
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-/// Nesting beyond this is refused before it can cost anything.
+/// Bounds the cost of parsing; deeper nesting is rejected.
 constexpr int kMaxDepth = 32;
 
 json to_json(const MemberFact& fact) {
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Typed messages between nodes and their JSON codec. Unknown fields are ignored, so that nodes of
-/// neighbouring versions understand each other; a message of another major version is refused.
+/// neighbouring versions are compatible; messages of another major version are rejected.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,13 @@
 /// Major version of the protocol between nodes.
 constexpr int kProtocolVersion = 1;
 
-/// Largest datagram, in bytes: below the usual path limits, so that none is split.
+/// Largest datagram, in bytes: below the usual path MTU, to avoid fragmentation.
 constexpr std::size_t kMaxDatagram = 1200;
 
 /// Largest framed message, in bytes.
 constexpr std::size_t kMaxFrame = 16UL << 20U;
 
-/// "I am here", with a few facts. By datagram.
+/// Sign of life with a few member and engine facts. By datagram.
 struct Heartbeat {
   NodeId from;
   bool is_answer = false;
@@ -36,13 +36,13 @@
   std::uint64_t engines_digest = 0;
 };
 
-/// "I hold this revision": sent at once when a new one was adopted. By datagram.
+/// Announces a newly adopted configuration revision. By datagram.
 struct RevisionNotice {
   NodeId from;
   Revision revision = 0;
 };
 
-/// Tokens of one service that a node was asked for. To the service's controller, by datagram.
+/// Token demand for one service at a node. To the service's controller, by datagram.
 struct DemandReport {
   NodeId from;
   ServiceName service;
@@ -82,7 +82,7 @@
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
 };
 
-/// Gives a claim back. By datagram: a lost one only keeps a key held.
+/// Releases a claim. By datagram: if it is lost, the key only stays held.
 struct ClaimRelease {
   ClaimKey key;
   RequestId claimant;
@@ -98,10 +98,10 @@
   SealResult result;
 };
 
-/// Begins a view at one replica. By framed connection.
+/// Installs a view at one replica. By framed connection.
 struct ClaimInstall {
   ClaimView view = 0;
-  std::uint64_t boot = 0;  ///< Of the process that it is meant for.
+  std::uint64_t boot = 0;  ///< Of the receiving process.
   std::vector<ClaimEntry> entries;
   Duration quiet_for{0};
 };
--- a/src/protocol/permit_message.cpp
+++ b/src/protocol/permit_message.cpp
@@ -13,7 +13,7 @@
 constexpr char kCallMark = 'P';
 constexpr char kAnswerMark = 'Q';
 
-/// A verdict of a later version grants nothing.
+/// Unknown verdicts of later versions grant nothing.
 PermitVerdict verdict_from_number(int value) {
   if (value == static_cast<int>(PermitVerdict::kGranted)) return PermitVerdict::kGranted;
   if (value == static_cast<int>(PermitVerdict::kWaitExceeded)) return PermitVerdict::kWaitExceeded;
--- a/src/protocol/permit_message.hpp
+++ b/src/protocol/permit_message.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// What nodes say to the keeper of an engine's limit, and what it answers. Datagrams in
-/// MessagePack, told apart from others by their first byte; a node of a version that does not know
-/// them drops them, and is passed over as one that is silent.
+/// Messages between nodes and the owner of an engine's limit. Datagrams in MessagePack, identified
+/// by their first byte; versions that do not know them drop them and are treated as silent nodes.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +12,25 @@
 
 namespace shuntbank {
 
-/// Asks for one send to an engine, or only for a sign of life.
+/// Requests a permit for one send to an engine, or only a sign of life.
 struct PermitCall {
   NodeId node;
-  std::uint64_t boot = 0;    ///< Of the asking process.
-  std::uint64_t number = 0;  ///< Comes back with the answer.
+  std::uint64_t boot = 0;    ///< Of the calling process.
+  std::uint64_t number = 0;  ///< Repeated in the answer.
   EngineId engine;
   bool wants_permit = false;
-  std::uint32_t earliest_send_ms = 0;  ///< Until the send can leave.
-  std::uint32_t max_wait_ms = 0;       ///< From then on: a later send is of no use.
-  relay::ToldLimit limit;              ///< As the asking node knows it.
+  std::uint32_t earliest_send_ms = 0;  ///< Time until the caller is ready to send.
+  std::uint32_t max_wait_ms = 0;       ///< From then on; a later permit is useless.
+  relay::ToldLimit limit;              ///< As known to the caller.
 
   bool operator==(const PermitCall&) const = default;
 };
 
-/// What became of a call.
+/// Outcome of a call.
 enum class PermitVerdict {
   kGranted,
-  kWaitExceeded,  ///< Not within the wait that was asked for.
-  kNotOwner,      ///< Another node keeps the limit, as far as this one can tell.
+  kWaitExceeded,  ///< No permit within `max_wait_ms`.
+  kNotOwner,      ///< Another node owns the limit, as far as this one knows.
 };
 
 /// The answer to a call.
@@ -41,9 +40,9 @@
   std::uint64_t number = 0;  ///< The same.
   EngineId engine;
   PermitVerdict verdict = PermitVerdict::kNotOwner;
-  std::uint32_t send_in_ms = 0;         ///< Until the send that was granted may leave.
-  std::uint32_t next_permit_in_ms = 0;  ///< Until another one may.
-  relay::ToldLimit limit;               ///< As the answering node knows it.
+  std::uint32_t send_in_ms = 0;         ///< Time until the granted send is allowed.
+  std::uint32_t next_permit_in_ms = 0;  ///< Time until the next one is.
+  relay::ToldLimit limit;               ///< As known to the answering node.
 
   bool operator==(const PermitAnswer&) const = default;
 };
--- a/src/protocol/trouble_codec.hpp
+++ b/src/protocol/trouble_codec.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// How messages between nodes tell the kind of a trouble: in the third place of an entry whether
-/// the engine was another than expected, and in a fourth that it leaves. A node of a version that
-/// does not know the fourth avoids the engine for a while.
+/// Encoding of the kind of an engine trouble in messages between nodes: the third element of an
+/// entry says whether the request was misdirected, an optional fourth that the engine is
+/// draining. Versions that do not know the fourth back off from the engine.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,7 +13,7 @@
 /// Appends the kind to an entry of engine and stage.
 void append_kind(nlohmann::json& entry, relay::TroubleKind kind);
 
-/// @return the kind in an entry. Throws as nlohmann/json does when the entry has none.
+/// @return the kind in an entry. @throw nlohmann::json::exception if it has none.
 relay::TroubleKind trouble_kind(const nlohmann::json& entry);
 
 }  // namespace shuntbank
--- a/src/protocol/usage_message.cpp
+++ b/src/protocol/usage_message.cpp
@@ -16,7 +16,7 @@
 constexpr char kCallMark = 'U';
 constexpr char kCountsMark = 'V';
 
-/// Counts that one message holds: at 20 bytes each, a name of 16 among them, 1,200 bytes.
+/// Counts per message: 1,200 bytes at 20 bytes for a count and a name of 16.
 constexpr std::size_t kCountsPerMessage = 60;
 
 std::string encode_part(const ToldUsage& whole, const json& counts, std::size_t part,
--- a/src/protocol/usage_message.hpp
+++ b/src/protocol/usage_message.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What nodes tell each other of usage: the node that reports it asks all others, and these answer
-/// what they have counted. Datagrams in MessagePack, told apart from others by their first byte.
+/// Usage messages between nodes: the node that reports usage polls all others, which answer with
+/// their counts. Datagrams in MessagePack, identified by their first byte.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace shuntbank {
 
-/// The node that reports usage asks for it, and tells true time where it knows it.
+/// Poll by the node that reports usage, with true time if that node knows it.
 struct UsageCall {
   NodeId reporter;
   std::uint64_t boot = 0;                  ///< Of the reporter's process.
@@ -24,8 +24,7 @@
 
 std::string encode(const UsageCall& call);
 
-/// @return one window's counts in as many messages as they need, none larger than a datagram of the
-/// usual links. `part` and `parts` are set here.
+/// @return one window's counts in as many datagrams as they need. Sets `part` and `parts`.
 std::vector<std::string> encode_parts(const usage::ToldUsage& whole);
 
 bool is_usage_call(std::string_view bytes);
--- a/tests/protocol/configuration_message_test.cpp
+++ b/tests/protocol/configuration_message_test.cpp
@@ -56,7 +56,7 @@
   const auto decoded = decode_configuration(bytes);
   cr_assert(decoded.has_value());
   cr_assert_eq(decoded->revision, 42);
-  // Every field is in the bytes: what was read is encoded to the same ones.
+  // Identical bytes show that no field is lost.
   cr_assert_eq(encode(*decoded), bytes);
   cr_assert_eq(decoded->configuration.tenants->at(0).keys.at(1).expires_at.value(), 1796000000);
   cr_assert_eq(decoded->configuration.routes.at(0).split.at(1).weight, 10);
--- a/tests/protocol/configuration_summary_test.cpp
+++ b/tests/protocol/configuration_summary_test.cpp
@@ -34,8 +34,8 @@
   return configuration;
 }
 
-/// @return what a node with `base` makes of the answer of one with `newer`; asserts that it is the
-/// same as the newer one. @param bytes set to the size of the answer.
+/// Asserts that the delta from `base` to `newer`, applied to `base`, gives `newer`.
+/// @param bytes set to the size of the encoded delta.
 void expect_delta_applies(const RouteConfiguration& base, const RouteConfiguration& newer,
                           std::size_t* bytes = nullptr) {
   const auto known = summarize(base, 10);
@@ -108,7 +108,7 @@
   RouteConfiguration no_tenant_declared = before;
   no_tenant_declared.tenants->clear();
   cr_assert_not(summarize(without_tenants, 1).same_content(summarize(no_tenant_declared, 1)),
-                "without tenants nobody needs a key; with none of them nobody has one");
+                "without tenants no key is needed; with an empty list no key is valid");
   expect_delta_applies(before, without_tenants);
 }
 
@@ -131,7 +131,7 @@
 }
 
 Test(configuration_summary, delta_transforms_any_configuration) {
-  SHUNTBANK_PROPERTY("what was asked for comes out", [] {
+  SHUNTBANK_PROPERTY("applying the delta gives the newer configuration", [] {
     const auto count = *rc::gen::inRange(0, 60);
     const RouteConfiguration before = with_routes(count);
     RouteConfiguration after = before;
@@ -152,7 +152,7 @@
   RouteConfiguration newer = summarized;
   newer.routes[3].timeout = 9s;
   const auto delta = make_delta(summarize(summarized, 10), {12, newer}, summarize(newer, 12));
-  // Between the question and the answer another one came into force.
+  // Another configuration became active between the call and the answer.
   RouteConfiguration base = summarized;
   base.routes[30].timeout = 8s;
   cr_assert_not(apply_delta(delta, base).has_value());
--- a/tests/protocol/earlier_messages_test.cpp
+++ b/tests/protocol/earlier_messages_test.cpp
@@ -1,6 +1,5 @@
-// Nodes of two versions run side by side while machines are replaced. The bytes here were made by
-// the landing before limits of engines: today's nodes read them, and what today's nodes send is the
-// same but for what is added at places that the earlier version passes over.
+// Guards compatibility during rolling upgrades. These bytes were encoded before engine limits
+// existed; the current version must decode them and may only add what earlier versions ignore.
 #include <criterion/criterion.h>
 
 #include <nlohmann/json.hpp>
--- a/tests/protocol/load_digest_test.cpp
+++ b/tests/protocol/load_digest_test.cpp
@@ -25,7 +25,7 @@
           *rc::gen::inRange<std::uint64_t>(0, 1U << 22U)};
 }
 
-/// What the parts of a digest say together.
+/// Combined content of the parts of a digest.
 struct JoinedParts {
   relay::LoadByKey load;
   relay::EngineNews updates;
--- a/tests/protocol/permit_message_test.cpp
+++ b/tests/protocol/permit_message_test.cpp
@@ -29,7 +29,7 @@
   for (const std::string& bytes : {encode(call()), encode(answer())}) {
     cr_assert_not(is_view(bytes) || is_digest(bytes));
     cr_assert_not(is_usage_call(bytes) || is_usage_counts(bytes));
-    cr_assert_not(decode_load_message(bytes).has_value(), "so that an older node drops it");
+    cr_assert_not(decode_load_message(bytes).has_value(), "older nodes must drop it");
   }
   cr_assert_not(is_permit_answer(encode(call())));
   cr_assert_not(is_permit_call(encode(answer())));
