--- a/src/protocol/load_message.hpp
+++ b/src/protocol/load_message.hpp
@@ -44,8 +44,7 @@
 
 /// Prompts cached at the engines, requested by a node that has just started.
 struct CacheSnapshot {
-  std::vector<relay::PromptRead>
-      cached_prompts;  ///< One entry per engine; least recently used first.
+  std::vector<relay::PromptRead> cached_prompts;  ///< One per engine; least recently used first.
 };
 
 /// Largest message, in bytes; fits into one datagram on common links.
