--- a/src/platform/object_client.cpp
+++ b/src/platform/object_client.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
-constexpr Duration kWatchSlack = std::chrono::seconds(5);
+constexpr Duration kWatchTimeoutMargin = std::chrono::seconds(5);
 constexpr int kNoContent = 204;
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
@@ -52,7 +52,7 @@
 }  // namespace
 
 ObjectClient::ObjectClient(HttpClient& http, std::string address)
-    : http_(http), base_("http://" + std::move(address)) {}
+    : http_(http), base_url_("http://" + std::move(address)) {}
 
 void ObjectClient::read_url(const std::string& url, Duration timeout, ReadHandler handler) {
   OutgoingRequest request;
@@ -63,19 +63,19 @@
 }
 
 void ObjectClient::read(const std::string& key, ReadHandler handler) {
-  read_url(base_ + "/objects?key=" + key, kCallTimeout, std::move(handler));
+  read_url(base_url_ + "/objects?key=" + key, kCallTimeout, std::move(handler));
 }
 
 void ObjectClient::watch(const std::string& key, std::uint64_t from, ReadHandler handler) {
-  read_url(base_ + "/watch?key=" + key + "&from=" + std::to_string(from), kWatchTime + kWatchSlack,
-           std::move(handler));
+  read_url(base_url_ + "/watch?key=" + key + "&from=" + std::to_string(from),
+           kWatchTime + kWatchTimeoutMargin, std::move(handler));
 }
 
 void ObjectClient::write(const std::string& key, std::uint64_t expected_version,
                          const nlohmann::json& value, WriteHandler handler) {
   OutgoingRequest request;
   request.method = "PUT";
-  request.url = base_ + "/objects?key=" + key;
+  request.url = base_url_ + "/objects?key=" + key;
   request.headers.add("Content-Type", "application/json");
   request.body = nlohmann::json{{"expected_version", expected_version}, {"value", value}}.dump();
   request.total_timeout = kCallTimeout;
@@ -86,7 +86,7 @@
 
 void ObjectClient::list_machines(MachinesHandler handler) {
   OutgoingRequest request;
-  request.url = base_ + "/machines";
+  request.url = base_url_ + "/machines";
   request.total_timeout = kCallTimeout;
   http_.fetch(std::move(request),
               [handler = std::move(handler)](const auto& reply) { handler(read_machines(reply)); });
--- a/src/platform/object_client.hpp
+++ b/src/platform/object_client.hpp
@@ -72,7 +72,7 @@
   void read_url(const std::string& url, Duration timeout, ReadHandler handler);
 
   HttpClient& http_;
-  std::string base_;
+  std::string base_url_;
 };
 
 }  // namespace shuntbank
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -36,17 +36,17 @@
 }  // namespace
 
 Test(platform_codec, reads_a_configuration) {
-  const auto read = ObjectCodec().configuration(json::parse(kConfiguration));
-  cr_assert(read.has_value());
-  cr_assert_eq(read->version, 7);
-  const relay::Route& route = read->routes.at(0);
+  const auto parsed = ObjectCodec().configuration(json::parse(kConfiguration));
+  cr_assert(parsed.has_value());
+  cr_assert_eq(parsed->version, 7);
+  const relay::Route& route = parsed->routes.at(0);
   cr_assert(route.idempotent());
   cr_assert_eq(route.split.size(), 2);
   cr_assert_eq(route.timeout.count(), 6000000);
-  cr_assert_eq(read->services.at(0).model->kv_token_bytes, 18432);
-  cr_assert_not(read->services.at(1).model.has_value());
-  cr_assert_eq(read->limits.idle_timeout.count(), 15000000);
-  cr_assert(relay::check(*read).empty());
+  cr_assert_eq(parsed->services.at(0).model->kv_token_bytes, 18432);
+  cr_assert_not(parsed->services.at(1).model.has_value());
+  cr_assert_eq(parsed->limits.idle_timeout.count(), 15000000);
+  cr_assert(relay::check(*parsed).empty());
 }
 
 Test(platform_codec, reads_tenants_and_keeps_only_hashes_of_their_keys) {
@@ -54,21 +54,21 @@
   document["routes"][0]["public"] = true;
   document["tenants"] = {{{"name", "guild"}, {"keys", {"k1", "k2"}}, {"priority", 1}},
                          {{"name", "post"}, {"keys", json::array()}}};
-  const auto read = ObjectCodec().configuration(document);
-  cr_assert(read.has_value());
-  cr_assert(read->routes.at(0).open);
-  cr_assert_eq(read->tenants->size(), 2);
-  const relay::DeclaredTenant& guild = read->tenants->at(0);
+  const auto parsed = ObjectCodec().configuration(document);
+  cr_assert(parsed.has_value());
+  cr_assert(parsed->routes.at(0).open);
+  cr_assert_eq(parsed->tenants->size(), 2);
+  const relay::DeclaredTenant& guild = parsed->tenants->at(0);
   cr_assert_eq(guild.priority.value(), 1);
   cr_assert_eq(guild.keys.at(1).sha256, sha256_hex("k2"));
-  cr_assert(read->tenants->at(1).keys.empty());
+  cr_assert(parsed->tenants->at(1).keys.empty());
 }
 
 Test(platform_codec, a_configuration_without_tenants_has_none) {
   cr_assert_not(ObjectCodec().configuration(json::parse(kConfiguration))->tenants.has_value());
 }
 
-Test(platform_dialect, removes_what_only_the_system_sets_and_the_callers_key) {
+Test(platform_dialect, strips_internal_headers_and_the_callers_key) {
   const PlatformDialect dialect;
   const auto& removed = dialect.names().from_callers_removed;
   for (const char* name :
@@ -77,16 +77,16 @@
   }
 }
 
-Test(platform_codec, survives_any_change_of_a_valid_document) {
+Test(platform_codec, handles_corrupted_configurations) {
   // A fixed seed: the same documents each time.
   std::mt19937 random(20261202);  // NOLINT: repeatable on purpose
-  const std::string whole = kConfiguration;
+  const std::string valid = kConfiguration;
   int refused = 0;
   for (int i = 0; i < 3000; ++i) {
-    std::string changed = whole;
+    std::string corrupted = valid;
     for (int k = 0; k < 3; ++k)
-      changed[random() % changed.size()] = static_cast<char>(random() % 128);
-    const json document = json::parse(changed, nullptr, false);
+      corrupted[random() % corrupted.size()] = static_cast<char>(random() % 128);
+    const json document = json::parse(corrupted, nullptr, false);
     if (document.is_discarded() || !ObjectCodec().configuration(document)) ++refused;
   }
   cr_assert_gt(refused, 0);
@@ -105,44 +105,44 @@
   cr_assert_not(ObjectCodec().engine({"i-1", 5, json::array()}).has_value());
 }
 
-Test(platform_codec, two_starts_of_one_engine_have_different_ids) {
+Test(platform_codec, incarnations_of_one_engine_have_different_ids) {
   json later = engine_entry();
   later["born"] = std::uint64_t{1796000000124};
   cr_assert_neq(ObjectCodec().engine({"i-1", 5, engine_entry()})->id.value(),
                 ObjectCodec().engine({"i-1", 6, later})->id.value());
 }
 
-Test(platform_codec, an_entry_of_another_writer_names_no_engine) {
+Test(platform_codec, rejects_missing_or_invalid_fields) {
   const ObjectCodec codec;
   cr_assert(codec.engine({"i-1", 5, engine_entry()}).has_value());
-  json never_told = engine_entry();
-  never_told.erase("born");
-  cr_assert_eq(codec.engine({"i-1", 5, never_told})->started_unix_ms, 0);
+  json without_born = engine_entry();
+  without_born.erase("born");
+  cr_assert_eq(codec.engine({"i-1", 5, without_born})->started_unix_ms, 0);
   for (const char* key : {"service", "addr", "zone", "slots", "state", "born"}) {
     json without = engine_entry();
     without.erase(key);
-    const bool needed = key != std::string("born");
-    cr_assert_eq(codec.engine({"i-1", 5, without}).has_value(), !needed, "without %s", key);
-    for (const json& other :
+    const bool required = key != std::string("born");
+    cr_assert_eq(codec.engine({"i-1", 5, without}).has_value(), !required, "without %s", key);
+    for (const json& value :
          {json(), json("x"), json(-1), json(1.5), json(true), json::array({1}), json::object()}) {
-      json changed = engine_entry();
-      changed[key] = other;
+      json corrupted = engine_entry();
+      corrupted[key] = value;
       const bool is_text =
-          other.is_string() && (key == std::string("service") || key == std::string("zone"));
-      cr_assert_eq(codec.engine({"i-1", 5, changed}).has_value(), is_text, "%s=%s", key,
-                   other.dump().c_str());
+          value.is_string() && (key == std::string("service") || key == std::string("zone"));
+      cr_assert_eq(codec.engine({"i-1", 5, corrupted}).has_value(), is_text, "%s=%s", key,
+                   value.dump().c_str());
     }
   }
 }
 
-Test(platform_codec, survives_any_entry) {
+Test(platform_codec, handles_corrupted_engine_entries) {
   std::mt19937 random(20261203);  // NOLINT: repeatable on purpose
-  const std::string whole = engine_entry().dump();
+  const std::string valid = engine_entry().dump();
   for (int i = 0; i < 3000; ++i) {
-    std::string changed = whole;
+    std::string corrupted = valid;
     for (int k = 0; k < 2; ++k)
-      changed[random() % changed.size()] = static_cast<char>(random() % 256);
-    const json document = json::parse(changed, nullptr, false);
+      corrupted[random() % corrupted.size()] = static_cast<char>(random() % 256);
+    const json document = json::parse(corrupted, nullptr, false);
     if (document.is_discarded()) continue;
     const auto record = ObjectCodec().engine({"i-1", 5, document});
     if (!record) continue;
@@ -151,7 +151,7 @@
   }
 }
 
-Test(platform_store, one_entry_that_cannot_be_read_hides_no_other) {
+Test(platform_store, skips_malformed_entries_and_returns_the_others) {
   ScriptedHttpClient http;
   StoreClient client(http, "10.0.0.1:1");
   tl::expected<store::ObjectList, store::StoreError> listed;
@@ -174,7 +174,7 @@
   cr_assert_eq(batch->revision, 12);
 }
 
-Test(platform_dialect, reads_what_an_engine_says_of_itself) {
+Test(platform_dialect, parses_draining_and_retry_after) {
   using namespace std::chrono_literals;
   const PlatformDialect dialect;
   cr_assert(dialect.notice(200, {{"server-leaving", "1"}}).notice.leaving);
@@ -187,35 +187,35 @@
                "only who is turned away is asked to wait");
 }
 
-Test(platform_dialect, takes_the_longest_of_two_waits_and_says_what_it_cannot_read) {
+Test(platform_dialect, uses_the_longest_retry_after_and_reports_malformed_fields) {
   using namespace std::chrono_literals;
   const PlatformDialect dialect;
   cr_assert_eq(dialect.notice(503, {{"Retry-After", "1"}, {"Retry-After", "4"}}).notice.rest,
                Duration(4s));
   for (const char* value : {"-1", "soon", "", "1e3", "nan", "inf", "2, 3", "0x10", "3s",
                             "Wed, 21 Oct 2026 07:28:00 GMT"}) {
-    const auto read = dialect.notice(503, {{"Retry-After", value}});
-    cr_assert_not(read.notice.rest.has_value(), "%s", value);
-    cr_assert_eq(read.unreadable.size(), 1, "%s", value);
+    const auto parsed = dialect.notice(503, {{"Retry-After", value}});
+    cr_assert_not(parsed.notice.rest.has_value(), "%s", value);
+    cr_assert_eq(parsed.unreadable.size(), 1, "%s", value);
   }
   const auto huge = dialect.notice(503, {{"Retry-After", std::string(300, '9')}}).notice.rest;
   cr_assert(!huge || *huge > 24h, "not a short wait, nor a negative one");
   cr_assert_eq(dialect.notice(200, {{"Server-Leaving", "0"}}).notice, relay::EngineNotice());
   cr_assert(dialect.notice(200, {{"Server-Leaving", "0"}}).unreadable.empty());
   for (const char* value : {"yes", "", "11"}) {
-    const auto read = dialect.notice(200, {{"Server-Leaving", value}});
-    cr_assert_not(read.notice.leaving);
-    cr_assert_eq(read.unreadable.size(), 1);
+    const auto parsed = dialect.notice(200, {{"Server-Leaving", value}});
+    cr_assert_not(parsed.notice.leaving);
+    cr_assert_eq(parsed.unreadable.size(), 1);
   }
 }
 
-Test(platform_dialect, reads_how_many_requests_a_second_an_engine_takes) {
+Test(platform_dialect, parses_the_request_limit) {
   const PlatformDialect dialect;
   const auto limit = [&](const char* value) {
     return dialect.notice(200, {{"server-limit", value}}).notice.limit;
   };
   cr_assert_eq(limit("1.3"), 1.3);
-  for (const char* nothing : {"0", "0.0"}) cr_assert_eq(limit(nothing), 0.0);
+  for (const char* zero : {"0", "0.0"}) cr_assert_eq(limit(zero), 0.0);
   cr_assert_eq(limit(".5"), 0.5);
   cr_assert_eq(limit("20"), 20.0);
   cr_assert_eq(limit(std::string(200, '9').c_str()).has_value(), true, "as good as none");
@@ -224,31 +224,31 @@
   cr_assert_not(dialect.notice(200, {}).notice.names_limit);
 }
 
-Test(platform_dialect, names_a_limit_that_it_cannot_read_and_takes_it_for_no_end) {
+Test(platform_dialect, reports_a_malformed_limit_without_clearing_it) {
   const PlatformDialect dialect;
   for (const char* value :
        {"", "-1", "-0", "+1", "1e3", "nan", "inf", "1,3", "1.3, 2", "two", "0x10", " 1", "1 "}) {
-    const auto read = dialect.notice(200, {{"Server-Limit", value}});
-    cr_assert_not(read.notice.limit.has_value(), "%s", value);
-    cr_assert(read.notice.names_limit, "%s", value);
-    cr_assert_eq(read.unreadable.size(), 1, "%s", value);
+    const auto parsed = dialect.notice(200, {{"Server-Limit", value}});
+    cr_assert_not(parsed.notice.limit.has_value(), "%s", value);
+    cr_assert(parsed.notice.names_limit, "%s", value);
+    cr_assert_eq(parsed.unreadable.size(), 1, "%s", value);
   }
   const auto mixed = dialect.notice(200, {{"Server-Limit", "soon"}, {"Server-Limit", "2"}});
   cr_assert_eq(mixed.notice.limit, 2.0);
 }
 
-Test(platform_dialect, reads_in_a_report_that_the_engine_leaves) {
+Test(platform_dialect, parses_draining_from_a_report) {
   const PlatformDialect dialect;
-  const auto leaving = [&](const char* more) {
-    const std::string body = std::string(R"({"stage":"decode","sequence":2)") + more + "}";
+  const auto draining = [&](const char* extra_fields) {
+    const std::string body = std::string(R"({"stage":"decode","sequence":2)") + extra_fields + "}";
     return dialect.report(body).value().leaving;
   };
-  cr_assert(leaving(R"(,"state":"draining")"));
-  cr_assert_not(leaving(R"(,"state":"ready")"));
-  cr_assert_not(leaving(""));
+  cr_assert(draining(R"(,"state":"draining")"));
+  cr_assert_not(draining(R"(,"state":"ready")"));
+  cr_assert_not(draining(""));
 }
 
-Test(platform_dialect, reads_prompts_and_load) {
+Test(platform_dialect, parses_prompts_load_and_refusals) {
   const PlatformDialect dialect;
   const auto prompt =
       dialect.prompt({{"X-Model", "m"},
@@ -265,7 +265,7 @@
   cr_assert_not(dialect.refused(503, {}));
 }
 
-Test(platform_store, lists_all_pages_and_tells_errors_apart) {
+Test(platform_store, lists_all_pages_and_maps_status_codes) {
   ScriptedHttpClient http;
   StoreClient client(http, "10.0.0.1:1");
   tl::expected<store::ObjectList, store::StoreError> listed;
@@ -297,7 +297,7 @@
   cr_assert_eq(static_cast<int>(written.error()), static_cast<int>(store::StoreError::kUncertain));
 }
 
-Test(load_message, survives_any_bytes_and_comes_back_as_it_was) {
+Test(load_message, round_trips_and_handles_arbitrary_bytes) {
   LoadMessage message;
   message.node = NodeId("n");
   message.boot = 1ULL << 50U;
--- a/tests/platform/ledger_test.cpp
+++ b/tests/platform/ledger_test.cpp
@@ -15,8 +15,8 @@
   return {id, "POST", "/stream/", "body", "model", true, 3};
 }
 
-struct Played {
-  Played() {
+struct LedgerFixture {
+  LedgerFixture() {
     this->ledger.sent(once("a"));
     this->ledger.sent(once("b"));
     this->ledger.sent(stream("s"));
@@ -26,108 +26,108 @@
     this->ledger.arrived(id, request.service, false);
     this->ledger.runs(id, request.service, request.method, request.target, request.body);
   }
-  bool broke(const std::string& rule) const {
-    const auto& broken = this->ledger.broken();
-    return broken.size() == 1 && broken[0].rule == rule;
+  bool only_violation_is(const std::string& rule) const {
+    const auto& violations = this->ledger.broken();
+    return violations.size() == 1 && violations[0].rule == rule;
   }
   Ledger ledger{{0.2, 3, std::chrono::seconds(10)}};
 };
 
 }  // namespace
 
-Test(ledger, finds_nothing_in_a_sound_day) {
-  Played played;
-  played.run("a");
-  const std::string seal = played.ledger.answers({"a", 200, "text"});
-  played.ledger.got_answer("a", 200, seal, "text");
-  played.ledger.got_answer("b", 503, "", "");
-  played.run("s");
+Test(ledger, accepts_a_run_without_violations) {
+  LedgerFixture fixture;
+  fixture.run("a");
+  const std::string seal = fixture.ledger.answers({"a", 200, "text"});
+  fixture.ledger.got_answer("a", 200, seal, "text");
+  fixture.ledger.got_answer("b", 503, "", "");
+  fixture.run("s");
   for (std::uint64_t i = 1; i <= 3; ++i) {
-    played.ledger.got_event("s", i, Ledger::event_text("s", i));
+    fixture.ledger.got_event("s", i, Ledger::event_text("s", i));
   }
-  played.ledger.got_stream_end("s", 3);
-  cr_assert(played.ledger.broken().empty());
+  fixture.ledger.got_stream_end("s", 3);
+  cr_assert(fixture.ledger.broken().empty());
 }
 
 Test(ledger, finds_a_request_that_ran_twice) {
-  Played played;
-  played.run("a");
-  played.run("a");
-  cr_assert(played.broke("TWICE"));
+  LedgerFixture fixture;
+  fixture.run("a");
+  fixture.run("a");
+  cr_assert(fixture.only_violation_is("TWICE"));
 }
 
-Test(ledger, finds_a_refusal_of_what_had_run_or_runs_later) {
-  Played before;
+Test(ledger, finds_a_refused_request_that_ran) {
+  LedgerFixture before;
   before.run("a");
   before.ledger.got_answer("a", 503, "", "");
-  cr_assert(before.broke("REFUSED"));
-  Played after;
+  cr_assert(before.only_violation_is("REFUSED"));
+  LedgerFixture after;
   after.ledger.got_answer("a", 503, "", "");
   after.run("a");
-  cr_assert(after.broke("REFUSED"));
+  cr_assert(after.only_violation_is("REFUSED"));
 }
 
 Test(ledger, finds_mixed_answers) {
   const std::vector<std::pair<std::string, std::string>> wrong = {{"b", "text"}, {"a", "other"}};
   for (const auto& [id, body] : wrong) {
-    Played played;
-    const std::string seal = played.ledger.answers({"a", 200, "text"});
-    played.ledger.got_answer(id, 200, seal, body);
-    cr_assert_not(played.ledger.broken().empty());
-    cr_assert_eq(played.ledger.broken()[0].rule, "MIXED");
+    LedgerFixture fixture;
+    const std::string seal = fixture.ledger.answers({"a", 200, "text"});
+    fixture.ledger.got_answer(id, 200, seal, body);
+    cr_assert_not(fixture.ledger.broken().empty());
+    cr_assert_eq(fixture.ledger.broken()[0].rule, "MIXED");
   }
-  Played unsealed;
+  LedgerFixture unsealed;
   unsealed.ledger.got_answer("a", 200, "", "text");
-  cr_assert(unsealed.broke("MIXED"));
-  Played handle;
+  cr_assert(unsealed.only_violation_is("MIXED"));
+  LedgerFixture handle;
   handle.ledger.made_handle("h", "a");
   handle.ledger.took_handle("h", "b");
-  cr_assert(handle.broke("MIXED"));
+  cr_assert(handle.only_violation_is("MIXED"));
 }
 
 Test(ledger, finds_streams_with_gaps_and_false_ends) {
-  Played gap;
+  LedgerFixture gap;
   gap.ledger.got_event("s", 1, Ledger::event_text("s", 2));
-  cr_assert(gap.broke("ORDER"));
-  Played end;
+  cr_assert(gap.only_violation_is("ORDER"));
+  LedgerFixture end;
   end.ledger.got_stream_end("s", 2);
-  cr_assert(end.broke("ORDER"));
+  cr_assert(end.only_violation_is("ORDER"));
 }
 
-Test(ledger, finds_what_nobody_asked_for) {
-  Played unknown;
+Test(ledger, finds_unrequested_and_misrouted_executions) {
+  LedgerFixture unknown;
   unknown.ledger.runs("x", "plain", "POST", "/once/", "body");
-  cr_assert(unknown.broke("UNASKED"));
-  Played changed;
+  cr_assert(unknown.only_violation_is("UNASKED"));
+  LedgerFixture changed;
   changed.ledger.runs("a", "plain", "POST", "/once/", "other body");
-  cr_assert(changed.broke("UNASKED"));
-  Played elsewhere;
+  cr_assert(changed.only_violation_is("UNASKED"));
+  LedgerFixture elsewhere;
   elsewhere.ledger.runs("a", "model", "POST", "/once/", "body");
-  cr_assert(elsewhere.broke("ROUTE"));
+  cr_assert(elsewhere.only_violation_is("ROUTE"));
 }
 
 Test(ledger, finds_two_machines_under_one_fence) {
-  Played played;
-  played.ledger.ordered("e", "n1/abc", 4);
-  played.ledger.ordered("e", "n1/def", 4);
-  cr_assert(played.ledger.broken().empty(), "two starts of one machine");
-  played.ledger.ordered("e", "n2/abc", 4);
-  cr_assert(played.broke("ONE"));
+  LedgerFixture fixture;
+  fixture.ledger.ordered("e", "n1/abc", 4);
+  fixture.ledger.ordered("e", "n1/def", 4);
+  cr_assert(fixture.ledger.broken().empty(), "two starts of one machine");
+  fixture.ledger.ordered("e", "n2/abc", 4);
+  cr_assert(fixture.only_violation_is("ONE"));
 }
 
 Test(ledger, finds_retries_beyond_the_bound) {
-  Played played;
-  for (int i = 0; i < 4; ++i) played.ledger.arrived("s", "model", false);
-  cr_assert(played.ledger.broken().empty(), "three repeats of one request");
-  played.ledger.arrived("s", "model", false);
-  cr_assert(played.broke("BUDGET"));
+  LedgerFixture fixture;
+  for (int i = 0; i < 4; ++i) fixture.ledger.arrived("s", "model", false);
+  cr_assert(fixture.ledger.broken().empty(), "three repeats of one request");
+  fixture.ledger.arrived("s", "model", false);
+  cr_assert(fixture.only_violation_is("BUDGET"));
 }
 
-Test(ledger, leaves_out_the_first_prompt_that_is_read_apart) {
-  Played played;
-  played.ledger.arrived("s", "model", true);
-  for (int i = 0; i < 4; ++i) played.ledger.arrived("s", "model", false);
-  cr_assert(played.ledger.broken().empty(), "three repeats of one request");
-  played.ledger.arrived("s", "model", true);
-  cr_assert(played.broke("BUDGET"), "a second prompt");
+Test(ledger, does_not_count_the_first_remote_prefill_as_a_retry) {
+  LedgerFixture fixture;
+  fixture.ledger.arrived("s", "model", true);
+  for (int i = 0; i < 4; ++i) fixture.ledger.arrived("s", "model", false);
+  cr_assert(fixture.ledger.broken().empty(), "three repeats of one request");
+  fixture.ledger.arrived("s", "model", true);
+  cr_assert(fixture.only_violation_is("BUDGET"), "a second prompt");
 }
--- a/tests/platform/limit_judge_test.cpp
+++ b/tests/platform/limit_judge_test.cpp
@@ -1,4 +1,4 @@
-// The judge of the soak is worth what it finds, and what it lets pass.
+// The checker of the soak is worth what it finds, and what it lets pass.
 #include "support/limit_judge.hpp"
 
 #include <criterion/criterion.h>
@@ -12,62 +12,62 @@
 constexpr MonotonicTime kNow{1000s};
 
 /// An engine that takes 1 a second, which two nodes have been told of: 11 are allowed in 4 s.
-LimitJudge judge_of_one() {
-  LimitJudge judge;
-  judge.names(kNow, "e", 1);
-  for (const char* node : {"n1", "n2"}) judge.told(kNow, {node, "e"});
-  return judge;
+LimitJudge checker_with_limit_one() {
+  LimitJudge checker;
+  checker.names(kNow, "e", 1);
+  for (const char* node : {"n1", "n2"}) checker.told(kNow, {node, "e"});
+  return checker;
 }
 
 /// @return how many of so many requests within 3 s are found to be too many.
-int found(LimitJudge& judge, MonotonicTime from, int requests, const char* node) {
-  int broken = 0;
+int count_violations(LimitJudge& checker, MonotonicTime from, int requests, const char* node) {
+  int violations = 0;
   for (int i = 0; i < requests; ++i) {
     const MonotonicTime at = from + Duration(3s) * i / requests;
-    if (!judge.reaches(at, {node, "e"}).empty()) ++broken;
+    if (!checker.reaches(at, {node, "e"}).empty()) ++violations;
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace
 
-Test(limit_judge, sums_over_the_nodes_that_were_told) {
-  LimitJudge judge = judge_of_one();
-  cr_assert_eq(found(judge, kNow + 10s, 6, "n1"), 0);
-  cr_assert_eq(found(judge, kNow + 10s, 5, "n2"), 0);
-  cr_assert_eq(found(judge, kNow + 10s, 9, "n3"), 0, "nobody told that node");
-  cr_assert_not(judge.reaches(kNow + 13s, {"n1", "e"}).empty());
-  cr_assert_eq(found(judge, kNow + 20s, 11, "n1"), 0, "another window");
+Test(limit_checker, sums_requests_over_the_notified_nodes) {
+  LimitJudge checker = checker_with_limit_one();
+  cr_assert_eq(count_violations(checker, kNow + 10s, 6, "n1"), 0);
+  cr_assert_eq(count_violations(checker, kNow + 10s, 5, "n2"), 0);
+  cr_assert_eq(count_violations(checker, kNow + 10s, 9, "n3"), 0, "nobody told that node");
+  cr_assert_not(checker.reaches(kNow + 13s, {"n1", "e"}).empty());
+  cr_assert_eq(count_violations(checker, kNow + 20s, 11, "n1"), 0, "another window");
 }
 
-Test(limit_judge, begins_a_while_after_the_first_word) {
-  LimitJudge judge = judge_of_one();
-  cr_assert_eq(found(judge, kNow - 1s + 500ms, 60, "n1"), 0);
-  judge = judge_of_one();
-  cr_assert_gt(found(judge, kNow + 3s, 60, "n1"), 0);
+Test(limit_checker, allows_time_to_converge_after_the_first_limit) {
+  LimitJudge checker = checker_with_limit_one();
+  cr_assert_eq(count_violations(checker, kNow - 1s + 500ms, 60, "n1"), 0);
+  checker = checker_with_limit_one();
+  cr_assert_gt(count_violations(checker, kNow + 3s, 60, "n1"), 0);
 }
 
-Test(limit_judge, goes_by_the_figure_of_each_moment) {
-  LimitJudge judge = judge_of_one();
-  judge.names(kNow + 10s, "e", 10);
-  judge.names(kNow + 20s, "e", 1);
-  cr_assert_eq(found(judge, kNow + 15s, 60, "n1"), 0);
-  cr_assert_eq(found(judge, kNow + 30s, 11, "n1"), 0);
-  cr_assert_gt(found(judge, kNow + 40s, 13, "n1"), 0);
-  judge.names_none("e");
-  cr_assert_eq(found(judge, kNow + 50s, 60, "n1"), 0);
-  judge.names(kNow + 54s, "e", 1);
-  cr_assert_eq(found(judge, kNow + 54s, 30, "n1"), 0, "it has not been told yet");
-  judge.told(kNow + 57s, {"n1", "e"});
-  cr_assert_gt(found(judge, kNow + 58s, 30, "n1"), 0);
+Test(limit_checker, applies_the_limit_in_effect_at_each_moment) {
+  LimitJudge checker = checker_with_limit_one();
+  checker.names(kNow + 10s, "e", 10);
+  checker.names(kNow + 20s, "e", 1);
+  cr_assert_eq(count_violations(checker, kNow + 15s, 60, "n1"), 0);
+  cr_assert_eq(count_violations(checker, kNow + 30s, 11, "n1"), 0);
+  cr_assert_gt(count_violations(checker, kNow + 40s, 13, "n1"), 0);
+  checker.names_none("e");
+  cr_assert_eq(count_violations(checker, kNow + 50s, 60, "n1"), 0);
+  checker.names(kNow + 54s, "e", 1);
+  cr_assert_eq(count_violations(checker, kNow + 54s, 30, "n1"), 0, "it has not been told yet");
+  checker.told(kNow + 57s, {"n1", "e"});
+  cr_assert_gt(count_violations(checker, kNow + 58s, 30, "n1"), 0);
 }
 
-Test(limit_judge, excuses_a_node_that_was_disturbed_or_cannot_know) {
-  LimitJudge judge = judge_of_one();
-  found(judge, kNow + 10s, 11, "n1");
-  judge.excuse_node("n1");
-  cr_assert(judge.reaches(kNow + 13s, {"n2", "e"}).empty());
-  judge.set_unaware("n2", true);
-  judge.told(kNow + 14s, {"n2", "e"});
-  cr_assert_eq(found(judge, kNow + 20s, 30, "n2"), 0);
+Test(limit_checker, ignores_reset_and_unaware_nodes) {
+  LimitJudge checker = checker_with_limit_one();
+  count_violations(checker, kNow + 10s, 11, "n1");
+  checker.excuse_node("n1");
+  cr_assert(checker.reaches(kNow + 13s, {"n2", "e"}).empty());
+  checker.set_unaware("n2", true);
+  checker.told(kNow + 14s, {"n2", "e"});
+  cr_assert_eq(count_violations(checker, kNow + 20s, 30, "n2"), 0);
 }
--- a/tests/platform/notice_judge_test.cpp
+++ b/tests/platform/notice_judge_test.cpp
@@ -1,4 +1,4 @@
-// The judge of the soak is worth what it finds, and what it lets pass.
+// The checker of the soak is worth what it finds, and what it lets pass.
 #include "support/notice_judge.hpp"
 
 #include <criterion/criterion.h>
@@ -14,36 +14,36 @@
 
 }  // namespace
 
-Test(notice_judge, finds_what_was_sent_to_an_engine_long_after_it_said_that_it_leaves) {
-  NoticeJudge judge(2s);
-  judge.told_leaving(kNow, kPair);
-  judge.told_leaving(kNow + 1s, kPair);
-  cr_assert(judge.reaches(kNow + 2500ms, kPair, kNow + 1900ms).empty(), "sent before");
-  cr_assert(judge.reaches(kNow + 9s, {"n2", "e"}, kNow + 9s).empty(), "nobody told that node");
-  cr_assert_not(judge.reaches(kNow + 2500ms, kPair, kNow + 2s).empty());
-  judge.excuse_node("n1");
-  cr_assert(judge.reaches(kNow + 3s, kPair, kNow + 3s).empty());
+Test(notice_checker, finds_requests_sent_to_a_draining_engine) {
+  NoticeJudge checker(2s);
+  checker.told_leaving(kNow, kPair);
+  checker.told_leaving(kNow + 1s, kPair);
+  cr_assert(checker.reaches(kNow + 2500ms, kPair, kNow + 1900ms).empty(), "sent before");
+  cr_assert(checker.reaches(kNow + 9s, {"n2", "e"}, kNow + 9s).empty(), "nobody told that node");
+  cr_assert_not(checker.reaches(kNow + 2500ms, kPair, kNow + 2s).empty());
+  checker.excuse_node("n1");
+  cr_assert(checker.reaches(kNow + 3s, kPair, kNow + 3s).empty());
 }
 
-Test(notice_judge, finds_the_third_request_within_a_time_of_rest) {
-  NoticeJudge judge(2s);
-  judge.asked_for_rest(kNow, kPair, 3s);
+Test(notice_checker, finds_the_third_request_within_a_cooldown) {
+  NoticeJudge checker(2s);
+  checker.asked_for_rest(kNow, kPair, 3s);
   for (int i = 0; i < 5; ++i) {
-    cr_assert(judge.reaches(kNow + 500ms, kPair, kNow).empty(), "it was on its way");
+    cr_assert(checker.reaches(kNow + 500ms, kPair, kNow).empty(), "it was on its way");
   }
-  cr_assert(judge.reaches(kNow + 1s, kPair, kNow).empty());
-  cr_assert(judge.reaches(kNow + 2s, kPair, kNow).empty());
-  cr_assert(judge.reaches(kNow + 2s, {"n2", "e"}, kNow).empty());
-  cr_assert_not(judge.reaches(kNow + 2900ms, kPair, kNow).empty());
-  cr_assert(judge.reaches(kNow + 3s, kPair, kNow).empty(), "it is over");
+  cr_assert(checker.reaches(kNow + 1s, kPair, kNow).empty());
+  cr_assert(checker.reaches(kNow + 2s, kPair, kNow).empty());
+  cr_assert(checker.reaches(kNow + 2s, {"n2", "e"}, kNow).empty());
+  cr_assert_not(checker.reaches(kNow + 2900ms, kPair, kNow).empty());
+  cr_assert(checker.reaches(kNow + 3s, kPair, kNow).empty(), "it is over");
 }
 
-Test(notice_judge, holds_a_node_to_each_rest_that_was_asked_for) {
-  NoticeJudge judge(2s);
-  judge.asked_for_rest(kNow, kPair, 3s);
-  judge.asked_for_rest(kNow + 1s, kPair, 700ms);
-  for (int i = 0; i < 2; ++i) cr_assert(judge.reaches(kNow + 2500ms, kPair, kNow).empty());
-  cr_assert_not(judge.reaches(kNow + 2500ms, kPair, kNow).empty());
-  judge.excuse_rests("e");
-  cr_assert(judge.reaches(kNow + 2500ms, kPair, kNow).empty());
+Test(notice_checker, a_later_cooldown_does_not_shorten_an_earlier_one) {
+  NoticeJudge checker(2s);
+  checker.asked_for_rest(kNow, kPair, 3s);
+  checker.asked_for_rest(kNow + 1s, kPair, 700ms);
+  for (int i = 0; i < 2; ++i) cr_assert(checker.reaches(kNow + 2500ms, kPair, kNow).empty());
+  cr_assert_not(checker.reaches(kNow + 2500ms, kPair, kNow).empty());
+  checker.excuse_rests("e");
+  cr_assert(checker.reaches(kNow + 2500ms, kPair, kNow).empty());
 }
--- a/tests/platform/settings_test.cpp
+++ b/tests/platform/settings_test.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-const char* const kWhole =
+const char* const kSettingsText =
     "node=n-1\nzone=z\nip=10.1.0.38\nlisten.front=10.1.0.38:8149\nlisten.ready=10.1.0.38:8141\n"
     "port_range=7380,7395\nbootstrap=true\nplatform.addr=10.200.1.7:8142\nbounds.budget_slack=54\n"
     "bounds.grace_s=8\nsomething.new=whatever\nno equals sign\n";
 
 }  // namespace
 
-Test(platform_settings, reads_what_it_knows_and_leaves_the_rest) {
-  const auto settings = parse_settings(kWhole);
+Test(platform_settings, reads_known_keys_and_ignores_others) {
+  const auto settings = parse_settings(kSettingsText);
   cr_assert(settings.has_value());
   cr_assert_eq(settings->peer_address, "10.1.0.38:7380");
-  cr_assert(settings->first_start);
+  cr_assert(settings->bootstrap);
   cr_assert_eq(relay_settings(*settings).retry_budget.slack, 54);
 }
 
-Test(platform_settings, gathers_changes_well_within_the_time_that_a_leaving_engine_serves) {
-  const auto settings = parse_settings(std::string(kWhole) + "bounds.drain_ms=3000\n");
+Test(platform_settings, batch_delay_stays_well_below_the_drain_time) {
+  const auto settings = parse_settings(std::string(kSettingsText) + "bounds.drain_ms=3000\n");
   cr_assert(settings.has_value());
   const auto relay = relay_settings(*settings);
   cr_assert(relay.catalog.longest_gather == std::chrono::milliseconds(1000));
 }
 
-Test(platform_settings, takes_the_policy_of_the_command_line_over) {
+Test(platform_settings, keeps_the_command_line_policy) {
   shuntbank::relay::RelaySettings policy;
   policy.placement.home_share = 0.5;
-  const auto relay = relay_settings(*parse_settings(kWhole), policy);
+  const auto relay = relay_settings(*parse_settings(kSettingsText), policy);
   cr_assert_eq(relay.placement.home_share, 0.5);
   cr_assert_eq(relay.node, "n-1");
 }
 
-Test(platform_settings, refuses_a_budget_without_a_window) {
-  const auto settings = parse_settings(std::string(kWhole) + "bounds.budget_window_s=0\n");
+Test(platform_settings, rejects_a_retry_budget_without_a_window) {
+  const auto settings = parse_settings(std::string(kSettingsText) + "bounds.budget_window_s=0\n");
   cr_assert_not(settings.has_value());
   const std::string text = settings.error().to_text();
   cr_assert_neq(text.find("bounds.budget_window_s: '0' is not a number above 0"), std::string::npos,
