--- a/src/platform/object_client.hpp
+++ b/src/platform/object_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's object API as this system uses it: versioned objects with compare-and-set,
+/// Client of the platform's object API: versioned objects with compare-and-set,
 /// watches and the list of machines. docs/design/0002-published-interfaces.md describes it.
 #pragma once
 
@@ -25,16 +25,16 @@
 /// Result of a compare-and-set that was answered.
 struct WriteResult {
   bool applied = false;
-  std::uint64_t version = 0;  ///< Of the object now.
+  std::uint64_t version = 0;  ///< Current version of the object.
 };
 
-/// Why the platform gave no result.
+/// Reasons for a call without a result.
 enum class PlatformError {
   kUnavailable,  ///< Down, slow or cut off. A write may have taken effect.
   kTooManyReaders,
 };
 
-/// One entry of the machine list. The list lags behind the truth.
+/// One entry of the machine list. The list may be stale.
 struct Machine {
   std::string name;
   std::string kind;     ///< `node` or `engine`.
@@ -42,7 +42,7 @@
   bool leaving = false;
 };
 
-/// Calls to the platform.
+/// Calls the platform over HTTP.
 class ObjectClient {
  public:
   ObjectClient(HttpClient& http, std::string address);
@@ -52,11 +52,10 @@
       std::function<void(tl::expected<std::optional<VersionedValue>, PlatformError>)>;
   void read(const std::string& key, ReadHandler handler);
 
-  /// Waits until the object's version is beyond `from`; nothing when it was not within
-  /// `kWatchTime`.
+  /// Waits until the object's version is above `from`; nothing if `kWatchTime` passes first.
   void watch(const std::string& key, std::uint64_t from, ReadHandler handler);
 
-  /// Replaces the object if its version is `expected_version`; zero: if it does not exist.
+  /// Replaces the object if its version is `expected_version`; zero: if it does not exist yet.
   using WriteHandler = std::function<void(tl::expected<WriteResult, PlatformError>)>;
   void write(const std::string& key, std::uint64_t expected_version, const nlohmann::json& value,
              WriteHandler handler);
@@ -65,7 +64,7 @@
   using MachinesHandler = std::function<void(tl::expected<std::vector<Machine>, PlatformError>)>;
   void list_machines(MachinesHandler handler);
 
-  /// How long a watch waits before it answers that nothing has changed.
+  /// Time after which the platform answers a watch without a change.
   static constexpr Duration kWatchTime = std::chrono::seconds(20);
 
  private:
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -27,7 +27,7 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":4194304,"header_timeout_ms":3000,
   "idle_timeout_ms":15000}})";
 
-/// Parsed, as entries are: a number that is made in a program would count as signed.
+/// Parsed from text, since a JSON number made from an `int` would be signed.
 json engine_entry() {
   return json::parse(R"({"service":"m","addr":"10.1.1.1:80","zone":"z","slots":64,"state":"ready",
     "sequence":3,"version":"v","cold_left_ms":0,"born":1796000000123})");
@@ -78,7 +78,6 @@
 }
 
 Test(platform_codec, handles_corrupted_configurations) {
-  // A fixed seed: the same documents each time.
   std::mt19937 random(20261202);  // NOLINT: repeatable on purpose
   const std::string valid = kConfiguration;
   int refused = 0;
@@ -184,7 +183,7 @@
   cr_assert(both.notice.leaving);
   cr_assert_eq(both.notice.rest, Duration(2s));
   cr_assert_eq(dialect.notice(200, {{"Retry-After", "3"}}).notice, relay::EngineNotice(),
-               "only who is turned away is asked to wait");
+               "Retry-After applies to rejections only");
 }
 
 Test(platform_dialect, uses_the_longest_retry_after_and_reports_malformed_fields) {
@@ -199,7 +198,7 @@
     cr_assert_eq(parsed.unreadable.size(), 1, "%s", value);
   }
   const auto huge = dialect.notice(503, {{"Retry-After", std::string(300, '9')}}).notice.rest;
-  cr_assert(!huge || *huge > 24h, "not a short wait, nor a negative one");
+  cr_assert(!huge || *huge > 24h, "neither short nor negative");
   cr_assert_eq(dialect.notice(200, {{"Server-Leaving", "0"}}).notice, relay::EngineNotice());
   cr_assert(dialect.notice(200, {{"Server-Leaving", "0"}}).unreadable.empty());
   for (const char* value : {"yes", "", "11"}) {
@@ -218,9 +217,9 @@
   for (const char* zero : {"0", "0.0"}) cr_assert_eq(limit(zero), 0.0);
   cr_assert_eq(limit(".5"), 0.5);
   cr_assert_eq(limit("20"), 20.0);
-  cr_assert_eq(limit(std::string(200, '9').c_str()).has_value(), true, "as good as none");
+  cr_assert_eq(limit(std::string(200, '9').c_str()).has_value(), true, "a huge limit is valid");
   const auto twice = dialect.notice(503, {{"Server-Limit", "4"}, {"Server-Limit", "2"}});
-  cr_assert_eq(twice.notice.limit, 2.0, "the lower one holds");
+  cr_assert_eq(twice.notice.limit, 2.0, "the lower limit applies");
   cr_assert_not(dialect.notice(200, {}).notice.names_limit);
 }
 
@@ -277,7 +276,7 @@
   http.answer(1, 200, {},
               R"({"items":[{"meta":{"name":"b","revision":4},"spec":{}}],"more":false,"at":11})");
   cr_assert_eq(listed->objects.size(), 2);
-  cr_assert_eq(listed->revision, 9, "changes between the pages are watched from the first");
+  cr_assert_eq(listed->revision, 9, "the list has the revision of its oldest page");
 
   const std::pair<int, store::StoreError> cases[] = {{409, store::StoreError::kConflict},
                                                      {404, store::StoreError::kMissing},
@@ -307,7 +306,7 @@
   cr_assert(back.has_value());
   cr_assert_eq(back->reads.at(0).parts.at(0).id, 1ULL << 63U);
   cr_assert_eq(back->load.at(EngineId("e")).unread_tokens, 4000);
-  SHUNTBANK_PROPERTY("garbage is refused or read, never worse", [] {
+  SHUNTBANK_PROPERTY("arbitrary bytes are decoded or rejected without a crash", [] {
     const auto bytes = *rc::gen::arbitrary<std::string>();
     decode_load_message(bytes);
   });
--- a/tests/platform/ledger_test.cpp
+++ b/tests/platform/ledger_test.cpp
@@ -1,4 +1,4 @@
-// The soak is worth what its ledger finds: each promise, broken on purpose.
+// Guards against a ledger that misses violations: breaks each guarantee on purpose.
 #include "platform/support/ledger.hpp"
 
 #include <criterion/criterion.h>
@@ -110,7 +110,7 @@
   LedgerFixture fixture;
   fixture.ledger.ordered("e", "n1/abc", 4);
   fixture.ledger.ordered("e", "n1/def", 4);
-  cr_assert(fixture.ledger.broken().empty(), "two starts of one machine");
+  cr_assert(fixture.ledger.broken().empty(), "the same machine after a restart");
   fixture.ledger.ordered("e", "n2/abc", 4);
   cr_assert(fixture.only_violation_is("ONE"));
 }
@@ -118,7 +118,7 @@
 Test(ledger, finds_retries_beyond_the_bound) {
   LedgerFixture fixture;
   for (int i = 0; i < 4; ++i) fixture.ledger.arrived("s", "model", false);
-  cr_assert(fixture.ledger.broken().empty(), "three repeats of one request");
+  cr_assert(fixture.ledger.broken().empty(), "three retries of one request");
   fixture.ledger.arrived("s", "model", false);
   cr_assert(fixture.only_violation_is("BUDGET"));
 }
@@ -127,7 +127,7 @@
   LedgerFixture fixture;
   fixture.ledger.arrived("s", "model", true);
   for (int i = 0; i < 4; ++i) fixture.ledger.arrived("s", "model", false);
-  cr_assert(fixture.ledger.broken().empty(), "three repeats of one request");
+  cr_assert(fixture.ledger.broken().empty(), "three retries of one request");
   fixture.ledger.arrived("s", "model", true);
-  cr_assert(fixture.only_violation_is("BUDGET"), "a second prompt");
+  cr_assert(fixture.only_violation_is("BUDGET"), "a second remote prefill");
 }
--- a/tests/platform/limit_judge_test.cpp
+++ b/tests/platform/limit_judge_test.cpp
@@ -1,4 +1,4 @@
-// The checker of the soak is worth what it finds, and what it lets pass.
+// Guards against a checker that misses requests above the limit or reports allowed ones.
 #include "support/limit_judge.hpp"
 
 #include <criterion/criterion.h>
@@ -11,7 +11,7 @@
 
 constexpr MonotonicTime kNow{1000s};
 
-/// An engine that takes 1 a second, which two nodes have been told of: 11 are allowed in 4 s.
+/// An engine with a limit of 1/s, received by two nodes: 11 requests are allowed in 4 s.
 LimitJudge checker_with_limit_one() {
   LimitJudge checker;
   checker.names(kNow, "e", 1);
@@ -19,7 +19,7 @@
   return checker;
 }
 
-/// @return how many of so many requests within 3 s are found to be too many.
+/// Sends `requests` spread over 3 s. @return how many exceed the limit.
 int count_violations(LimitJudge& checker, MonotonicTime from, int requests, const char* node) {
   int violations = 0;
   for (int i = 0; i < requests; ++i) {
@@ -35,7 +35,8 @@
   LimitJudge checker = checker_with_limit_one();
   cr_assert_eq(count_violations(checker, kNow + 10s, 6, "n1"), 0);
   cr_assert_eq(count_violations(checker, kNow + 10s, 5, "n2"), 0);
-  cr_assert_eq(count_violations(checker, kNow + 10s, 9, "n3"), 0, "nobody told that node");
+  cr_assert_eq(count_violations(checker, kNow + 10s, 9, "n3"), 0,
+               "the node has not received the limit");
   cr_assert_not(checker.reaches(kNow + 13s, {"n1", "e"}).empty());
   cr_assert_eq(count_violations(checker, kNow + 20s, 11, "n1"), 0, "another window");
 }
@@ -57,7 +58,8 @@
   checker.names_none("e");
   cr_assert_eq(count_violations(checker, kNow + 50s, 60, "n1"), 0);
   checker.names(kNow + 54s, "e", 1);
-  cr_assert_eq(count_violations(checker, kNow + 54s, 30, "n1"), 0, "it has not been told yet");
+  cr_assert_eq(count_violations(checker, kNow + 54s, 30, "n1"), 0,
+               "the node has not received the new limit");
   checker.told(kNow + 57s, {"n1", "e"});
   cr_assert_gt(count_violations(checker, kNow + 58s, 30, "n1"), 0);
 }
--- a/tests/platform/notice_judge_test.cpp
+++ b/tests/platform/notice_judge_test.cpp
@@ -1,4 +1,4 @@
-// The checker of the soak is worth what it finds, and what it lets pass.
+// Guards against a checker that misses forbidden requests or reports allowed ones.
 #include "support/notice_judge.hpp"
 
 #include <criterion/criterion.h>
@@ -19,7 +19,8 @@
   checker.told_leaving(kNow, kPair);
   checker.told_leaving(kNow + 1s, kPair);
   cr_assert(checker.reaches(kNow + 2500ms, kPair, kNow + 1900ms).empty(), "sent before");
-  cr_assert(checker.reaches(kNow + 9s, {"n2", "e"}, kNow + 9s).empty(), "nobody told that node");
+  cr_assert(checker.reaches(kNow + 9s, {"n2", "e"}, kNow + 9s).empty(),
+            "the node has not been notified");
   cr_assert_not(checker.reaches(kNow + 2500ms, kPair, kNow + 2s).empty());
   checker.excuse_node("n1");
   cr_assert(checker.reaches(kNow + 3s, kPair, kNow + 3s).empty());
@@ -29,13 +30,13 @@
   NoticeJudge checker(2s);
   checker.asked_for_rest(kNow, kPair, 3s);
   for (int i = 0; i < 5; ++i) {
-    cr_assert(checker.reaches(kNow + 500ms, kPair, kNow).empty(), "it was on its way");
+    cr_assert(checker.reaches(kNow + 500ms, kPair, kNow).empty(), "in flight");
   }
   cr_assert(checker.reaches(kNow + 1s, kPair, kNow).empty());
   cr_assert(checker.reaches(kNow + 2s, kPair, kNow).empty());
   cr_assert(checker.reaches(kNow + 2s, {"n2", "e"}, kNow).empty());
   cr_assert_not(checker.reaches(kNow + 2900ms, kPair, kNow).empty());
-  cr_assert(checker.reaches(kNow + 3s, kPair, kNow).empty(), "it is over");
+  cr_assert(checker.reaches(kNow + 3s, kPair, kNow).empty(), "the cooldown is over");
 }
 
 Test(notice_checker, a_later_cooldown_does_not_shorten_an_earlier_one) {
