--- a/src/core/relay/crash_ledger.hpp
+++ b/src/core/relay/crash_ledger.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// Which requests ran at engines as these ended, and what follows from it: a request that ends each
-/// engine that runs it must not be sent on for ever, and one that only ran beside it is not to
-/// blame.
+/// Records which requests were running at engines that crashed, to quarantine a request that
+/// crashes every engine it runs on, but not the requests that merely ran beside it.
 #pragma once
 
 #include <cstdint>
@@ -16,190 +15,189 @@
 
 namespace shuntbank::relay {
 
-/// Tunables of the ledger, in one place.
+/// Tunables of the ledger.
 struct CrashLedgerSettings {
-  /// Ended engines after which a request is held back, unless another one that is held back
-  /// accounts for them. One may be chance, and two are met by requests that are sent on together
-  /// with the guilty one (in an incident 17 of 51 tries met two).
-  std::size_t enough = 3;
-  /// Ended engines after which a request is held back in any case: by then another was held back
-  /// before, and this one has gone on ending engines without it.
-  std::size_t enough_in_any_case = 4;
-  /// How long a request is held back behind its last try. Longer than callers were seen to pause
-  /// (30 s), and far longer than an engine needs to start again (3 s).
-  Duration hold = std::chrono::minutes(15);
-  /// How long an ended engine is remembered against a request that is not held back.
-  Duration memory = std::chrono::minutes(10);
-  /// Within this time it must be known that the engine has ended, or it speaks against nobody.
-  /// Longer than three heartbeats, after which the list of engines lacks one that has gone dark.
-  Duration proof_within = std::chrono::seconds(6);
-  /// How long an engine's end is remembered for what is told later of it: nodes tell within a
-  /// second or two, and a message may be lost.
-  Duration ends_remembered = std::chrono::seconds(10);
-  /// A suspect that is under way elsewhere is forgotten after so long, whatever became of it there.
-  Duration longest_trial = std::chrono::seconds(10);
-  /// Requests remembered; about 200 bytes each. Those with the fewest ended engines go first, the
-  /// oldest of these before the others.
-  std::size_t most_suspects = 2000;
+  /// Crashed engines after which a request is quarantined, not counting crashes that another
+  /// quarantined request explains. Requests that are retried together with the cause often see two.
+  std::size_t quarantine_threshold = 3;
+  /// Crashed engines after which a request is quarantined even if other quarantined requests
+  /// explain some of the crashes.
+  std::size_t unconditional_threshold = 4;
+  /// How long a request is quarantined after its last attempt. Exceeds the retry interval of
+  /// callers (30 s) and the restart time of an engine (3 s).
+  Duration quarantine_duration = std::chrono::minutes(15);
+  /// How long crashes are remembered for a request that is not quarantined.
+  Duration suspect_retention = std::chrono::minutes(10);
+  /// An interruption is discarded unless the engine's crash is confirmed within this time. Exceeds
+  /// three heartbeats, after which an unresponsive engine is dropped from the list of engines.
+  Duration confirmation_timeout = std::chrono::seconds(6);
+  /// How long a crash is remembered for late reports: nodes report within a second or two, and a
+  /// message may be lost.
+  Duration crash_retention = std::chrono::seconds(10);
+  /// After this time a suspect no longer counts as in flight at an engine.
+  Duration max_trial_duration = std::chrono::seconds(10);
+  /// Requests remembered; about 200 bytes each. Evicted by fewest crashes, then by age.
+  std::size_t max_suspects = 2000;
 };
 
-/// What is known against a request.
-struct CrashStanding {
-  std::size_t broken = 0;            ///< Engines that broke it off and may have ended.
-  std::size_t ended = 0;             ///< Of these: that are known to have ended.
-  bool under_way = false;            ///< An engine has it now.
-  std::optional<Duration> held_for;  ///< Set while it is held back: what is left of it.
+/// Whether a request is suspected of crashing engines, and whether it is quarantined.
+struct SuspectStatus {
+  std::size_t interruptions = 0;  ///< Engines that interrupted it and may have crashed.
+  std::size_t crashes = 0;        ///< Those of `interruptions` that are known to have crashed.
+  bool in_flight = false;         ///< An engine is running it now.
+  std::optional<Duration> quarantine_left;  ///< Set while it is quarantined.
 
-  /// @return whether an engine may have ended under it.
-  bool suspect() const { return this->broken > 0; }
+  /// @return whether an engine may have crashed while running it.
+  bool is_suspect() const { return this->interruptions > 0; }
 };
 
-/// A request that is held back, with what speaks against it.
-struct HeldRequest {
+/// A quarantined request and the crashes attributed to it.
+struct QuarantinedRequest {
   RequestIdentity request;
-  std::vector<EngineKey> ended;
-  /// Whence it came as engines ended. From one address alone: only that one is held back, so that
-  /// nobody gets another's request refused by sending the same; from several: all are.
-  std::set<CallerKey> callers;
-  Duration left = Duration::zero();
-
-  /// @return whether it is held back from wherever it comes.
-  bool for_all() const { return this->callers.size() > 1; }
-  bool operator==(const HeldRequest&) const = default;
+  std::vector<EngineKey> crashed_engines;
+  /// Callers whose copies crashed engines. With one caller, only that caller's copies are
+  /// quarantined, so that nobody can get another's request refused by sending the same; with
+  /// several, everyone's are.
+  std::set<CallerAddressHash> callers;
+  Duration time_left = Duration::zero();
+
+  bool applies_to_all_callers() const { return this->callers.size() > 1; }
+  bool operator==(const QuarantinedRequest&) const = default;
 };
 
-/// One engine's doing with one request.
-struct BrokenRequest {
-  TriedRequest tried;
+/// A request that an engine did not complete.
+struct InterruptedRequest {
+  CallerRequest attempt;
   EngineKey engine = 0;
-  /// The engine said nothing, rather than close the connection; counts only once it is known to
-  /// have ended.
+  /// The engine stopped responding rather than close the connection; counts only once it is known
+  /// to have crashed.
   bool silent = false;
-  bool heard = false;  ///< Another node saw it, which is also the one that asks the engine.
+  bool from_peer = false;  ///< Reported by another node, which also checks the engine.
 
-  bool operator==(const BrokenRequest&) const = default;
+  bool operator==(const InterruptedRequest&) const = default;
 };
 
-/// What one engine's end says against one request.
+/// One interruption or crash attributed to a request.
 struct CrashEvidence {
   EngineKey engine = 0;
-  CallerKey caller = 0;
+  CallerAddressHash caller = 0;
   MonotonicTime at{};
-  bool ended = false;
+  bool crashed = false;
 
   bool operator==(const CrashEvidence&) const = default;
 };
 
-/// Knows no clock and no other node: callers pass in the time, and what other nodes have met.
+/// Counts engine crashes per request and decides which requests are quarantined. Has no clock or
+/// network access: callers pass in the time and the reports of other nodes.
 class CrashLedger {
  public:
   explicit CrashLedger(const CrashLedgerSettings& own_settings = {}) : settings(own_settings) {}
 
-  /// @return whether nothing is known against any request.
+  /// @return whether no request is a suspect or was recently.
   bool empty() const { return this->suspects.empty(); }
 
-  /// @return what is known against a request, for a try that comes from where it does.
-  CrashStanding standing(MonotonicTime now, const TriedRequest& tried) const;
+  /// @return the status of a request when sent by this caller.
+  SuspectStatus status(MonotonicTime now, const CallerRequest& attempt) const;
 
-  /// @return whether a request is held back, from wherever.
-  bool holds(const RequestIdentity& request) const { return this->held_back.count(request) > 0; }
+  /// @return whether a request is quarantined for any caller.
+  bool is_quarantined(const RequestIdentity& request) const {
+    return this->quarantined_requests.count(request) > 0;
+  }
 
-  /// @return whether anything is remembered of a request.
-  bool knows(const RequestIdentity& request) const { return this->suspects.count(request) > 0; }
+  /// @return whether there is a record of a request.
+  bool contains(const RequestIdentity& request) const { return this->suspects.count(request) > 0; }
 
-  /// @return whether other nodes have told of a request.
-  bool heard_of(const RequestIdentity& request) const;
+  /// @return whether other nodes have reported interruptions of a request.
+  bool reported_by_peer(const RequestIdentity& request) const;
 
-  /// @return the requests that an engine broke off.
-  std::vector<RequestIdentity> broken_by(EngineKey engine) const;
+  /// @return the requests that an engine interrupted.
+  std::vector<RequestIdentity> interrupted_by(EngineKey engine) const;
 
-  /// An engine broke a request off.
-  void on_broken(MonotonicTime at, const BrokenRequest& broken);
+  /// Records that an engine interrupted a request.
+  void on_interrupted(MonotonicTime at, const InterruptedRequest& interrupted);
 
-  /// @return whether the engine was known to have ended before: what is sent there then and breaks
-  /// is not what ended it.
-  bool ended_before(MonotonicTime at, EngineKey engine) const;
+  /// @return whether the engine was already known to have crashed, so that a request sent at `at`
+  /// cannot be the cause.
+  bool crashed_before(MonotonicTime at, EngineKey engine) const;
 
-  /// An engine is known to have ended.
-  void on_engine_ended(MonotonicTime now, EngineKey engine);
+  /// Records that an engine has crashed.
+  void on_engine_crashed(MonotonicTime now, EngineKey engine);
 
-  /// An engine has answered what it was sent at `sent_at`: what broke before was not its end, and
-  /// whom only such ends held back is held back no more.
+  /// Records that an engine answered a request sent at `sent_at`. Earlier interruptions there were
+  /// no crashes: they are discarded, and quarantines that rested on them are lifted.
   void on_engine_answered(MonotonicTime sent_at, EngineKey engine);
 
-  /// A request ran to its end, or an operator speaks for it: what is known from before is void.
+  /// Discards earlier evidence against a request that has completed or that an operator released.
   void clear(MonotonicTime at, const RequestIdentity& request);
 
-  /// A request that engines may have ended under is under way at one again, or no more.
+  /// Records that a suspect is sent to an engine again, or no longer runs there.
   void begin_trial(MonotonicTime now, const RequestIdentity& request, EngineKey engine);
   void end_trial(const RequestIdentity& request);
 
-  /// @return the engines at which other suspects than `request` are under way.
-  std::set<EngineKey> engines_on_trial(MonotonicTime now, const RequestIdentity& request) const;
+  /// @return the engines at which suspects other than `request` are in flight.
+  std::set<EngineKey> trial_engines(MonotonicTime now, const RequestIdentity& request) const;
 
-  /// A request that is held back has come again.
-  void on_held_again(MonotonicTime now, const RequestIdentity& request);
+  /// Restarts the quarantine period when a quarantined request is sent again.
+  void extend_quarantine(MonotonicTime now, const RequestIdentity& request);
 
-  /// Takes over from an earlier life, or from a node that knows, that a request is held back.
-  void restore(MonotonicTime now, const HeldRequest& held);
+  /// Restores a quarantine from the store or from another node.
+  void restore(MonotonicTime now, const QuarantinedRequest& entry);
 
-  /// @return what speaks against a request.
+  /// @return the interruptions and crashes attributed to a request.
   std::vector<CrashEvidence> evidence(const RequestIdentity& request) const;
 
-  /// @return the engines of which it matters whether they have ended, each once in a while; those
-  /// that broke off what this node had sent.
-  std::vector<EngineKey> take_questions(MonotonicTime now);
+  /// @return engines to be checked for a crash: those that interrupted requests of this node.
+  /// Limits how often each is returned.
+  std::vector<EngineKey> take_liveness_checks(MonotonicTime now);
 
-  /// @return requests that are held back, or from more callers than before, since the last call.
-  std::vector<HeldRequest> take_verdicts(MonotonicTime now);
+  /// @return requests quarantined, or quarantined for more callers, since the last call.
+  std::vector<QuarantinedRequest> take_new_quarantines(MonotonicTime now);
 
-  /// @return all requests that are held back.
-  std::vector<HeldRequest> held(MonotonicTime now) const;
+  /// @return all quarantined requests.
+  std::vector<QuarantinedRequest> quarantined(MonotonicTime now) const;
 
-  /// Forgets what is too old.
+  /// Drops expired evidence and quarantines.
   void expire(MonotonicTime now);
 
  private:
-  struct Broken {
+  struct Interruption {
     MonotonicTime at{};
-    CallerKey caller = 0;
+    CallerAddressHash caller = 0;
     bool silent = false;
-    bool heard = false;
-    bool ended = false;
+    bool from_peer = false;
+    bool crashed = false;
   };
   struct Trial {
     EngineKey engine = 0;
-    MonotonicTime since{};
+    MonotonicTime started_at{};
   };
   struct Suspect {
-    std::map<EngineKey, Broken> engines;
+    std::map<EngineKey, Interruption> engines;
     std::optional<Trial> trial;
-    std::optional<MonotonicTime> held_until;
-    std::size_t held_callers = 0;  ///< When it was last said that it is held back.
+    std::optional<MonotonicTime> quarantined_until;
+    std::size_t quarantined_callers = 0;  ///< Callers when the quarantine was last announced.
     MonotonicTime cleared_at{};
-    /// Was held back, and then cleared or shown to have ended fewer engines: what the store still
-    /// says of it is not taken.
-    bool let_go = false;
-    MonotonicTime last{};
+    /// The quarantine was lifted by new evidence; outdated entries of the store are ignored.
+    bool released = false;
+    MonotonicTime last_event_at{};
   };
   using Suspects = std::map<RequestIdentity, Suspect>;
 
-  bool on_trial(MonotonicTime now, const Suspect& suspect) const;
-  bool accounted_for(EngineKey engine, const RequestIdentity& request) const;
-  void judge(MonotonicTime now, const RequestIdentity& request, Suspect& suspect);
-  void make_room();
-  static std::size_t count_broken(const Suspect& suspect);
-  static std::size_t count_ended(const Suspect& suspect);
-  static std::set<CallerKey> callers_of(const Suspect& suspect);
+  bool has_active_trial(MonotonicTime now, const Suspect& suspect) const;
+  bool explained_by_quarantine(EngineKey engine, const RequestIdentity& request) const;
+  void evaluate(MonotonicTime now, const RequestIdentity& request, Suspect& suspect);
+  void evict_if_full();
+  static std::size_t count_interruptions(const Suspect& suspect);
+  static std::size_t count_crashes(const Suspect& suspect);
+  static std::set<CallerAddressHash> crash_callers(const Suspect& suspect);
 
   CrashLedgerSettings settings;
   Suspects suspects;
-  std::set<RequestIdentity> held_back;
-  std::vector<RequestIdentity> verdicts;  ///< Not yet taken.
-  std::map<EngineKey, MonotonicTime> asked;
-  std::map<EngineKey, MonotonicTime> lived;  ///< Engines that have answered, and what they answered
-                                             ///< was sent when.
-  std::map<EngineKey, MonotonicTime> ends;   ///< Engines known to have ended, and since when.
+  std::set<RequestIdentity> quarantined_requests;
+  std::vector<RequestIdentity> new_quarantines;  ///< Not yet taken.
+  std::map<EngineKey, MonotonicTime> last_checks;
+  std::map<EngineKey, MonotonicTime> last_answers;  ///< When the latest answered request was sent.
+  std::map<EngineKey, MonotonicTime> crashes;       ///< When an engine was found to have crashed.
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/engine_limit.hpp
+++ b/src/core/relay/engine_limit.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// How many requests a second engines say that they take from all nodes together, as nodes hear it
-/// of the engines themselves and of each other, in any order.
+/// Rate limits that engines announce for all nodes together. Observations from engines and reports
+/// from other nodes may arrive in any order.
 #pragma once
 
 #include <cstddef>
@@ -13,73 +13,71 @@
 
 namespace shuntbank::relay {
 
-/// An engine's word on its limit, with the time at which some node heard it of the engine.
-struct HeardLimit {
-  std::optional<double> a_second;  ///< Nothing: the engine takes what it gets.
-  MonotonicTime heard_at{};
+/// A limit, and when some node received it from the engine.
+struct ObservedLimit {
+  std::optional<double> per_second;  ///< Unset: unlimited.
+  MonotonicTime observed_at{};
 
-  bool operator==(const HeardLimit&) const = default;
+  bool operator==(const ObservedLimit&) const = default;
 };
 
-/// A limit that an engine has begun to name, has changed or has ended.
-struct LimitNews {
+/// A limit that an engine has set, changed or removed.
+struct LimitUpdate {
   EngineId engine;
-  HeardLimit limit;
+  ObservedLimit limit;
 
-  bool operator==(const LimitNews&) const = default;
+  bool operator==(const LimitUpdate&) const = default;
 };
 
-/// A limit as messages between nodes tell it: with how long ago it was heard of the engine.
-struct ToldLimit {
-  std::optional<double> a_second;
+/// A limit in messages between nodes, with the age of its observation.
+struct LimitReport {
+  std::optional<double> per_second;
   std::uint32_t age_ms = 0;
 
-  bool operator==(const ToldLimit&) const = default;
+  bool operator==(const LimitReport&) const = default;
 };
 
-/// The highest age that is told: an hour. Nothing that was heard so long ago decides anything.
-constexpr std::uint32_t kHighestLimitAge = 3'600'000;  // ms
+/// Greater ages are cut to this.
+constexpr std::uint32_t kMaxLimitAgeMs = 3'600'000;
 
-ToldLimit to_told(const HeardLimit& limit, MonotonicTime now);
-HeardLimit to_heard(const ToldLimit& told, MonotonicTime now);
+LimitReport to_report(const ObservedLimit& limit, MonotonicTime now);
+ObservedLimit to_observed(const LimitReport& report, MonotonicTime now);
 
-/// A word counts as later than another only by so much: answers pass each other on their
-/// connections, and news of them take up to some sums of the fleet's view.
-constexpr Duration kSurelyLater = std::chrono::milliseconds(500);
+/// Observations closer together than this may arrive in either order, as answers and reports
+/// overtake each other.
+constexpr Duration kReorderTolerance = std::chrono::milliseconds(500);
 
-/// What is known of the limit of each start of an engine, and when it takes the next request.
+/// The limit of each engine incarnation and the time of its next permit.
 class EngineLimits {
  public:
-  /// Takes a word. A lower limit is taken unless it is surely older than what is known, a higher
-  /// one and the end of a limit only where they are surely later: of two nodes that heard different
-  /// figures both are right in the end, and until then the lower one holds.
+  /// Applies an observation. Within `kReorderTolerance` of the known one the lower limit wins;
+  /// otherwise the newer one, so that nodes with different observations converge.
   /// @return whether the limit has changed.
-  bool hear(const EngineId& engine, const HeardLimit& heard);
+  bool observe(const EngineId& engine, const ObservedLimit& observed);
 
-  /// @return what is known of an engine, or null.
-  const HeardLimit* find(const EngineId& engine) const;
+  /// @return the last observation of an engine, or null.
+  const ObservedLimit* find(const EngineId& engine) const;
 
-  /// @return the limit in force, if there is one.
+  /// @return the limit in force, in requests per second.
   std::optional<double> limit(const EngineId& engine) const;
 
-  /// Sets when the engine takes a request next, as far as this node knows.
-  void set_next(const EngineId& engine, MonotonicTime at);
+  /// Sets when the engine accepts its next request, as far as this node knows.
+  void set_next_permit(const EngineId& engine, MonotonicTime at);
 
-  /// @return when the engine takes a request next; nothing where it is not limited.
-  std::optional<MonotonicTime> next(const EngineId& engine) const;
+  /// @return when the engine accepts its next request; unset if it is unlimited.
+  std::optional<MonotonicTime> next_permit(const EngineId& engine) const;
 
-  /// @return whether any engine is limited.
-  bool any() const { return this->limited > 0; }
+  bool any_limited() const { return this->limited_count > 0; }
 
  private:
   struct Known {
-    HeardLimit limit;
-    MonotonicTime next{};
+    ObservedLimit limit;
+    MonotonicTime next_permit{};
   };
-  void forget_old(MonotonicTime now);
+  void expire(MonotonicTime now);
 
   std::unordered_map<EngineId, Known> engines;
-  std::size_t limited = 0;
+  std::size_t limited_count = 0;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/keeper_choice.hpp
+++ b/src/core/relay/keeper_choice.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Which node keeps the limit of an engine: the first in an order of its own that answers.
+/// Selects the node that owns the rate limit of an engine: the first responsive one in a ranking
+/// that depends on the engine.
 ///
-/// No election and no lease: all nodes rank the nodes alike, and each goes by who answers it. The
-/// nodes before the one that keeps are asked for a sign of life again and again, so that all come
-/// back to the same one.
+/// There is no election and no lease: all nodes compute the same ranking, and each skips the nodes
+/// that do not answer it. Skipped nodes are probed periodically, so that all nodes converge on the
+/// same owner.
 #pragma once
 
 #include <map>
@@ -16,52 +17,53 @@
 
 namespace shuntbank::relay {
 
-/// A node that has been asked and has not answered for so long is passed over.
-constexpr Duration kKeeperSilence = std::chrono::milliseconds(300);
+/// A node that leaves a request unanswered for this long is skipped.
+constexpr Duration kOwnerTimeout = std::chrono::milliseconds(300);
 
-/// A node that has not answered yet is asked again, so that one lost message does not matter.
-constexpr Duration kAskKeeperAgain = std::chrono::milliseconds(90);
+/// Interval between probes of a node that has not answered yet; covers a lost message.
+constexpr Duration kOwnerProbeInterval = std::chrono::milliseconds(90);
 
-/// A node that is passed over is asked so often whether it is back.
-constexpr Duration kAskSilentAgain = std::chrono::seconds(1);
+/// Interval between probes of a node that is skipped.
+constexpr Duration kSilentNodeProbeInterval = std::chrono::seconds(1);
 
-/// The keepers as one node sees them.
-class KeeperChoice {
+/// The limit owners as seen by one node.
+class LimitOwnerSelector {
  public:
-  explicit KeeperChoice(NodeId own_name) : self(std::move(own_name)) {}
+  explicit LimitOwnerSelector(NodeId own_name) : self(std::move(own_name)) {}
 
-  /// Takes all nodes, this one among them.
+  /// Sets the nodes of the fleet, including this one.
   void set_nodes(std::vector<NodeId> nodes);
 
-  /// @return the node that keeps an engine's limit, as far as this one can tell; nothing where none
-  /// of those that may answers.
-  std::optional<NodeId> keeper(MonotonicTime now, const EngineId& engine);
+  /// @return the owner of the engine's limit as seen by this node, or nothing if no candidate
+  /// responds.
+  std::optional<NodeId> owner(MonotonicTime now, const EngineId& engine);
 
-  /// @return whether no other node comes before this one.
-  bool is_first(const EngineId& engine);
+  /// @return whether this node ranks first for the engine.
+  bool is_preferred_owner(const EngineId& engine);
 
-  /// A node was sent what it answers at once.
-  void on_asked(MonotonicTime now, const NodeId& node);
+  /// Records that a request was sent which the node answers at once.
+  void on_request_sent(MonotonicTime now, const NodeId& node);
 
-  /// Something has come from a node.
-  void on_heard(const NodeId& node) { this->contacts.erase(node); }
+  /// Records that any message came from the node.
+  void on_message_received(const NodeId& node) { this->pending_replies.erase(node); }
 
-  /// @return nodes that should be asked for a sign of life now.
-  std::vector<NodeId> to_ask(MonotonicTime now, const EngineId& engine);
+  /// @return the nodes due for a probe, of those ranked before this node up to the first responsive
+  /// one.
+  std::vector<NodeId> nodes_to_probe(MonotonicTime now, const EngineId& engine);
 
  private:
-  /// A node that has not answered yet.
-  struct Contact {
+  /// An unanswered request to a node.
+  struct PendingReply {
     MonotonicTime unanswered_since{};
-    MonotonicTime asked_at{};
+    MonotonicTime last_sent_at{};
   };
-  const std::vector<NodeId>& order(const EngineId& engine);
-  bool silent(MonotonicTime now, const NodeId& node) const;
+  const std::vector<NodeId>& ranking(const EngineId& engine);
+  bool is_unresponsive(MonotonicTime now, const NodeId& node) const;
 
   NodeId self;
   std::vector<NodeId> nodes;
-  std::unordered_map<EngineId, std::vector<NodeId>> orders;
-  std::map<NodeId, Contact> contacts;
+  std::unordered_map<EngineId, std::vector<NodeId>> rankings;
+  std::map<NodeId, PendingReply> pending_replies;
 };
 
 }  // namespace shuntbank::relay
--- a/src/core/relay/routes.cpp
+++ b/src/core/relay/routes.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string normalized_host(std::string_view host) {
-  // A port behind the host names the connection, not the route; IPv6 numbers stand in brackets.
+  // Strips the port; a colon inside the brackets of an IPv6 address is none.
   const std::size_t bracket = host.rfind(']');
   const std::size_t colon = host.rfind(':');
   const bool has_port =
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-double ModelServing::move_ms(std::uint64_t tokens) const {
+double ModelServing::transfer_ms(std::uint64_t tokens) const {
   const double bits = static_cast<double>(tokens * kv_token_bytes) * 8;
   const double bits_per_ms = std::max(1.0, link_megabits_per_second * 1000);
   return bits / bits_per_ms;
@@ -62,12 +62,12 @@
     if (name.empty()) findings.add(place, "must not be empty");
     if (!services.insert(name).second) findings.add(place, "'" + name + "' is declared twice");
   }
-  std::set<std::pair<std::string, std::string>> taken;
+  std::set<std::pair<std::string, std::string>> seen;
   for (std::size_t i = 0; i < configuration.routes.size(); ++i) {
     const Route& route = configuration.routes[i];
     const std::string place = "routes/" + std::to_string(i);
     check_route(route, services, place, findings);
-    if (!taken.emplace(normalized_host(route.host), route.path_prefix).second) {
+    if (!seen.emplace(normalized_host(route.host), route.path_prefix).second) {
       findings.add(place, "host and path prefix are those of an earlier route");
     }
   }
@@ -92,8 +92,8 @@
   for (std::size_t i = 0; i < configuration_.services.size(); ++i) {
     const auto& scale = configuration_.services[i].scale;
     if (!scale || scale->least <= scale->most) continue;
-    doubts_.add("services/" + std::to_string(i) + "/scale",
-                "the least count passes the most: no engines are ordered");
+    warnings_.add("services/" + std::to_string(i) + "/scale",
+                  "the minimum count exceeds the maximum: no engines are ordered");
   }
 }
 
@@ -102,12 +102,13 @@
     const DeclaredTenant& tenant = tenants[i];
     const std::string place = "tenants/" + std::to_string(i);
     if (!tenants_.emplace(tenant.name, &tenant).second) {
-      doubts_.add(place + "/name", "'" + tenant.name.value() + "' is declared twice");
+      warnings_.add(place + "/name", "'" + tenant.name.value() + "' is declared twice");
     }
-    if (tenant.keys.empty()) doubts_.add(place + "/keys", "is empty: nobody can call for it");
+    if (tenant.keys.empty()) warnings_.add(place + "/keys", "is empty: no request is admitted");
     for (std::size_t k = 0; k < tenant.keys.size(); ++k) {
       if (keys_.add(tenant.name, tenant.keys[k])) continue;
-      doubts_.add(place + "/keys/" + std::to_string(k), "is held twice: it is good for nobody");
+      warnings_.add(place + "/keys/" + std::to_string(k),
+                    "is declared more than once: it is valid for no tenant");
     }
   }
 }
@@ -116,7 +117,7 @@
                              std::int64_t unix_seconds) const {
   if (!configuration_.tenants) return {true, nullptr};
   const TenantName* owner = key.empty() ? nullptr : keys_.find(key, unix_seconds);
-  if (owner == nullptr) return {route.open, nullptr};
+  if (owner == nullptr) return {route.allows_anonymous, nullptr};
   return {true, tenants_.at(*owner)};
 }
 
--- a/src/core/relay/stage_planner.hpp
+++ b/src/core/relay/stage_planner.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Decides when a model engine changes its stage. Orders are priced and take the engine away for
-/// seconds, so that it orders little.
+/// Plans stage changes (prefill or decode) of model engines. A change costs money and takes the
+/// engine out of service for seconds, so changes are few and batched.
 #pragma once
 
 #include <map>
@@ -14,51 +14,51 @@
 
 /// Tunables of the planner.
 struct StagePlannerSettings {
-  double prefill_share = 0.56;  ///< Of a service's engines.
-  std::uint32_t least_decode = 2;
-  Duration between_batches = std::chrono::seconds(3);  ///< From one batch's begin to the next.
-  /// Of a service's engines, ordered in one batch; one at least. Engines that have come since and
-  /// hold nothing yet need not wait for a batch: nobody misses them.
-  double share_at_once = 0.1;
-  Duration not_again_within = std::chrono::seconds(12);  ///< For one engine.
+  double prefill_share = 0.56;  ///< Target share of prefill engines per service.
+  std::uint32_t min_decode_engines = 2;
+  Duration batch_interval = std::chrono::seconds(3);  ///< Between the starts of two batches.
+  /// Share of a service's engines changed in one batch, at least one engine. Idle engines that
+  /// joined later need not wait for a batch.
+  double max_batch_share = 0.1;
+  Duration engine_cooldown = std::chrono::seconds(12);  ///< Between two changes of one engine.
 };
 
-/// An order to give.
+/// An order to change an engine's stage.
 struct StageChange {
   EngineId engine;
   EngineStage stage = EngineStage::kDecode;
 };
 
-/// Plans the stages of one node's view of the engines.
+/// Plans stages from one node's view of the engines.
 class StagePlanner {
  public:
   explicit StagePlanner(const StagePlannerSettings& settings) : settings_(settings) {}
 
-  /// @return the next order, if one pays now. It counts as given.
+  /// @return the next order, if one is due. It counts as issued.
   std::optional<StageChange> next(MonotonicTime now, EngineDirectory& engines,
                                   const RouteTable& table);
 
  private:
-  std::optional<StageChange> next_for(MonotonicTime now, EngineDirectory& engines,
-                                      const RelayedService& service, bool batch_open);
-  bool newcomer(MonotonicTime now, const EngineView& engine) const;
-  void note_first_engines(const EngineDirectory& engines);
+  std::optional<StageChange> next_for_service(MonotonicTime now, EngineDirectory& engines,
+                                              const RelayedService& service, bool batch_open);
+  bool is_idle_newcomer(MonotonicTime now, const EngineView& engine) const;
+  void record_initial_engines(const EngineDirectory& engines);
   std::size_t batch_size(EngineDirectory& engines, const RelayedService& service) const;
 
-  /// An order that was given, whether or not its effect shows yet.
-  struct GivenOrder {
+  /// An issued order, whether or not the engine has changed yet.
+  struct IssuedOrder {
     EngineStage stage = EngineStage::kDecode;
-    MonotonicTime at{};
+    MonotonicTime issued_at{};
   };
 
-  /// @return the stage that the engine has, or will have once its order is carried out.
+  /// @return the engine's stage once any order in progress has completed.
   EngineStage expected_stage(MonotonicTime now, const EngineRecord& record) const;
 
   StagePlannerSettings settings_;
-  std::optional<MonotonicTime> batch_began_;
-  std::size_t batch_left_ = 0;  ///< Orders that the batch may still hold.
-  std::map<EngineId, GivenOrder> given_;
-  std::optional<std::set<EngineId>> first_engines_;  ///< That were there when planning began.
+  std::optional<MonotonicTime> batch_started_at_;
+  std::size_t batch_remaining_ = 0;  ///< Orders left in the batch.
+  std::map<EngineId, IssuedOrder> issued_orders_;
+  std::optional<std::set<EngineId>> initial_engines_;  ///< Known when planning started.
 };
 
 }  // namespace shuntbank::relay
--- a/src/protocol/configuration_summary.cpp
+++ b/src/protocol/configuration_summary.cpp
@@ -9,8 +9,8 @@
 namespace shuntbank {
 namespace {
 
-/// Writes fields one after the other so that no two values give the same bytes.
-class FieldBytes {
+/// Hashes a sequence of fields, serialized without ambiguity.
+class FieldHasher {
  public:
   void add(std::string_view text) {
     add(text.size());
@@ -29,7 +29,7 @@
 };
 
 std::uint64_t hash_of(const relay::Route& route) {
-  FieldBytes fields;
+  FieldHasher fields;
   fields.add(route.name);
   fields.add(route.host);
   fields.add(route.path_prefix);
@@ -46,12 +46,12 @@
   fields.add(static_cast<std::uint64_t>(route.priority));
   fields.add(std::uint64_t{route.affinity});
   fields.add(std::uint64_t{route.resumable});
-  fields.add(std::uint64_t{route.open});
+  fields.add(std::uint64_t{route.allows_anonymous});
   return fields.hash();
 }
 
 std::uint64_t hash_of(const relay::DeclaredTenant& tenant) {
-  FieldBytes fields;
+  FieldHasher fields;
   fields.add(tenant.name.value());
   fields.add(std::uint64_t{tenant.priority.has_value()});
   fields.add(static_cast<std::uint64_t>(tenant.priority.value_or(0)));
@@ -74,14 +74,14 @@
                                std::uint64_t revision) {
   ConfigurationSummary summary;
   summary.revision = revision;
-  // Sums do not depend on the order, which says nothing in a configuration.
+  // Sums are independent of the order, which has no meaning in a configuration.
   for (const relay::Route& route : configuration.routes) {
-    summary.groups[group_of(route)] += hash_of(route);
+    summary.group_hashes[group_of(route)] += hash_of(route);
   }
   if (!configuration.tenants) return summary;
-  summary.tenants = 1;  // No tenant at all is not the same as a system without tenants.
+  summary.tenants_hash = 1;  // Distinguishes an empty list of tenants from none.
   for (const relay::DeclaredTenant& tenant : *configuration.tenants) {
-    summary.tenants += hash_of(tenant);
+    summary.tenants_hash += hash_of(tenant);
   }
   return summary;
 }
--- a/src/relay/catalog.hpp
+++ b/src/relay/catalog.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Feeds a relay node from the store: the operator's configuration and the engines' records.
+/// Keeps a relay node's configuration and engine records in sync with the store.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace shuntbank::relay {
 
-/// Reads objects of the store. Holds names and formats and decides nothing.
+/// Maps store objects to configuration and engine records. Contains no policy.
 class CatalogCodec {
  public:
   CatalogCodec() = default;
@@ -30,16 +30,16 @@
   virtual std::string configuration_name() const = 0;
   virtual std::string engine_kind() const = 0;
 
-  /// @return the configuration, or what cannot be read.
+  /// @return the configuration, or a description of what is malformed.
   virtual tl::expected<RouteConfiguration, std::string> configuration(
       const nlohmann::json& content) const = 0;
 
-  /// @return the engine's record, or what cannot be read.
+  /// @return the engine's record, or a description of what is malformed.
   virtual tl::expected<EngineRecord, std::string> engine(
       const store::StoredObject& object) const = 0;
 };
 
-/// Watches both kinds until it is destroyed.
+/// Watches configuration and engine objects until it is destroyed.
 class Catalog {
  public:
   Catalog(Runtime& runtime, store::ObjectStore& store, const CatalogCodec& codec, RelayNode& node,
@@ -47,27 +47,28 @@
   Catalog(const Catalog&) = delete;
   Catalog& operator=(const Catalog&) = delete;
 
-  /// @return the newest changes that this node has seen, and when the store confirmed them.
+  /// @return the newest revisions that this node has seen, and when the store confirmed them.
   StoreProgress progress() const;
 
-  /// Tells who reads the store. While others do, this node's own reading may lag: they give hints.
+  /// Sets which nodes read the newest store state. While others do, this node accepts stale reads
+  /// and relies on their hints.
   void set_readers(const StoreReaders& readers);
 
-  /// Another node has seen changes up to these.
+  /// Reports that another node has seen changes up to these revisions.
   void hint(const CatalogRevisions& revisions);
 
-  /// Sets how another node is asked for its configuration: the store may turn this node away while
-  /// it serves the others, and a key that was taken away must not stay in force here.
-  void set_asking(std::function<void()> ask_peer) { ask_peer_ = std::move(ask_peer); }
+  /// Sets the function that requests the configuration from another node. The store may reject this
+  /// node while it serves others, and a revoked key must not stay valid here.
+  void set_peer_fetch(std::function<void()> peer_fetch) { peer_fetch_ = std::move(peer_fetch); }
 
-  /// @return what this node asks of another one: all that is newer than its own.
+  /// @return a request to another node for everything newer than the active configuration.
   ConfigurationCall configuration_call();
 
-  /// Another node has answered what `asking` asked.
-  void take_from_peer(ConfigurationMessage message);
+  /// Applies a configuration received from another node unless it is older than the active one.
+  void apply_peer_configuration(ConfigurationMessage message);
 
-  /// @return what another node lacks of the configuration in force; empty: nothing, or it should
-  /// ask somebody else.
+  /// @return the parts of the active configuration that the caller lacks; empty if there are none
+  /// or the caller should ask another node.
   std::string configuration_for_peer(const ConfigurationCall& call);
 
   /// @return how long ago the store last confirmed the configuration.
@@ -77,16 +78,16 @@
   Duration engines_age() const;
 
  private:
-  void take_configuration(const store::StoredObject& object);
-  void take_engines(const store::ObjectList& list);
-  void take_engine_change(const store::ObjectChange& change);
-  void pace(const Fleet& fleet);
-  void read_with(store::Freshness freshness);
-  void note_in_force(std::uint64_t version, std::uint64_t revision);
-  void ask_peer_after(Duration delay);
-  void look_for_hinted();
-  const ConfigurationSummary& summary();
-  bool may_give(std::size_t bytes);
+  void apply_configuration(const store::StoredObject& object);
+  void apply_engines(const store::ObjectList& list);
+  void apply_engine_change(const store::ObjectChange& change);
+  void update_timing(const Fleet& fleet);
+  void set_watch_freshness(store::Freshness freshness);
+  void update_active_revision(std::uint64_t version, std::uint64_t revision);
+  void schedule_peer_fetch(Duration delay);
+  void fetch_hinted();
+  const ConfigurationSummary& own_summary();
+  bool admit_peer_answer(std::size_t bytes);
 
   Runtime& runtime_;
   const CatalogCodec& codec_;
@@ -95,15 +96,15 @@
   std::unique_ptr<store::KindWatch> engines_;
   CatalogSettings settings_;
   MonotonicTime started_at_;
-  bool reads_for_others_ = false;
-  std::uint64_t in_force_revision_ = 0;  ///< Of the store, at which it holds what is in force.
-  std::uint64_t hinted_ = 0;             ///< Newest revision that others have told of.
-  Duration ask_again_{};                 ///< Until the next peer is asked.
-  ConfigurationSummary summary_;         ///< Of `summarized_`.
-  std::uint64_t summarized_ = 0;         ///< The version whose summary is known; 0: none.
-  MonotonicTime gives_again_at_{};       ///< When peers may have a long answer again.
-  std::function<void()> ask_peer_;
-  std::unique_ptr<Timer> hinted_timer_;
+  bool is_store_reader_ = false;
+  std::uint64_t active_revision_ = 0;     ///< Store revision of the active configuration.
+  std::uint64_t hinted_revision_ = 0;     ///< Newest revision reported by other nodes.
+  Duration peer_fetch_backoff_{};         ///< Delay before the next peer is asked.
+  ConfigurationSummary summary_;          ///< Summary of `summarized_version_`.
+  std::uint64_t summarized_version_ = 0;  ///< Version of `summary_`; 0: none.
+  MonotonicTime next_large_answer_at_{};  ///< Earliest time of the next large answer to a peer.
+  std::function<void()> peer_fetch_;
+  std::unique_ptr<Timer> peer_fetch_timer_;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/engine_listener.hpp
+++ b/src/relay/engine_listener.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Hears what engines say of themselves in the heads of their answers, whatever was asked of them.
+/// Processes notices that engines send in response headers, independent of the request.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace shuntbank::relay {
 
-/// What it works with. All of it outlives it.
+/// Dependencies; all must outlive the listener.
 struct EngineListenerIo {
   Runtime& runtime;
   const EngineDialect& dialect;
@@ -20,43 +20,43 @@
   RelayMetrics& metrics;
 };
 
-/// The listener of one node.
+/// Processes the engine notices that one node receives itself or from other nodes.
 class EngineListener {
  public:
   explicit EngineListener(const EngineListenerIo& own_io) : io(own_io) {}
 
-  /// Sets who is told that an engine leaves, for the other nodes.
+  /// Sets the handler that forwards a draining notice to the other nodes.
   void on_trouble(std::function<void(const EngineTrouble&)> handler) {
-    this->tell_trouble = std::move(handler);
+    this->trouble_handler = std::move(handler);
   }
 
-  /// Sets who is told that an engine has changed its limit, for the other nodes.
-  void on_limit_news(std::function<void(const LimitNews&)> handler) {
-    this->tell_limit = std::move(handler);
+  /// Sets the handler that forwards a changed limit to the other nodes.
+  void on_limit_changed(std::function<void(const LimitUpdate&)> handler) {
+    this->limit_handler = std::move(handler);
   }
 
-  /// The head of an answer has come that is known to be this engine's.
-  /// @param request whose answer it is, for the log; empty for a call of the node's own.
-  void on_head(const EngineId& engine, int status, const HttpHeaders& headers,
-               std::string_view request = {});
+  /// Processes the head of a response that is verified to come from this engine.
+  /// @param request request id for the log; empty for calls of the node itself.
+  void on_response_head(const EngineId& engine, int status, const HttpHeaders& headers,
+                        std::string_view request = {});
 
-  /// An engine has said, in whatever way, that it leaves.
-  void on_leaving(const EngineId& engine, std::string_view request = {});
+  /// An engine has announced that it drains, by a header or a report.
+  void on_draining(const EngineId& engine, std::string_view request = {});
 
-  /// Another node has heard a limit of an engine.
-  void on_peer_limit(const LimitNews& news);
+  /// Another node has received a limit from an engine.
+  void on_peer_limit(const LimitUpdate& news);
 
-  /// Another node has met trouble at an engine.
+  /// Another node reports trouble with an engine.
   void on_peer_trouble(const EngineTrouble& trouble);
 
  private:
-  bool learn_leaving(const EngineId& engine, const char* source, std::string_view request);
-  void on_rest(const EngineId& engine, Duration rest, std::string_view request);
-  void on_limit(const EngineId& engine, std::optional<double> a_second, std::string_view request);
+  bool mark_draining(const EngineId& engine, const char* source, std::string_view request);
+  void on_cooldown(const EngineId& engine, Duration requested, std::string_view request);
+  void on_limit(const EngineId& engine, std::optional<double> per_second, std::string_view request);
 
   EngineListenerIo io;
-  std::function<void(const EngineTrouble&)> tell_trouble;
-  std::function<void(const LimitNews&)> tell_limit;
+  std::function<void(const EngineTrouble&)> trouble_handler;
+  std::function<void(const LimitUpdate&)> limit_handler;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Permits to send requests to engines that have named a limit. A limit holds over all nodes, so
-/// that one node keeps each engine's limit and grants the sends, one by one and by demand; a node
-/// without a permit sends such an engine nothing.
+/// Permits to send requests to engines with a rate limit. A limit applies to all nodes together, so
+/// one node owns each engine's limit and grants sends one by one on demand. Nodes send nothing to a
+/// limited engine without a permit.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 
 namespace shuntbank::relay {
 
-/// What it works with. All of it outlives it.
+/// Dependencies; all must outlive the permits.
 struct EnginePermitsIo {
   Runtime& runtime;
   EngineDirectory& engines;
@@ -30,39 +30,39 @@
   EngineListener& listener;
 };
 
-/// A permit is good for so long from its time: as long as a connection over a slow link may take.
-/// The sends of a window are the permits of that much more.
-constexpr Duration kPermitLife = std::chrono::milliseconds(400);
+/// How long a permit is valid: covers connection setup over a slow link. A rate window may exceed
+/// its limit by the permits of this time.
+constexpr Duration kPermitLifetime = std::chrono::milliseconds(400);
 
-/// One send to an engine.
+/// Permission for one send to an engine.
 struct SendPermit {
   EngineId engine;
-  MonotonicTime from{};   ///< Not before.
-  MonotonicTime until{};  ///< Its first byte leaves by then, or not at all.
-  double a_second = 0;    ///< The limit that it was granted under; void under a lower one.
+  MonotonicTime valid_from{};
+  MonotonicTime valid_until{};  ///< Latest time for the first byte.
+  double limit_per_second = 0;  ///< Limit at the time of the grant; a lower one voids the permit.
 
   bool operator==(const SendPermit&) const = default;
 };
 
-/// When a send that is asked for can be of use.
-struct PermitSpan {
-  Duration earliest{};      ///< From now: it cannot leave before.
-  Duration longest_wait{};  ///< From then on.
+/// Time window in which a requested send is useful.
+struct SendWindow {
+  Duration earliest{};  ///< From now.
+  Duration max_wait{};  ///< From `earliest`.
 };
 
-/// The permits of one node: those that it asks for, and those that it grants as a keeper.
+/// Requests permits for this node, and grants permits for the limits that it owns.
 class EnginePermits {
  public:
-  /// Called once: with a permit, or with nothing where none can be had in time.
+  /// Called once, with a permit or with nothing if none is available in time.
   using Handler = std::function<void(std::optional<SendPermit>)>;
 
-  /// @param seed tells this process from others of the same name.
-  EnginePermits(const EnginePermitsIo& own_io, std::uint64_t seed) : io(own_io), boot(seed) {}
+  /// @param seed distinguishes this process from earlier ones of the same node.
+  EnginePermits(const EnginePermitsIo& own_io, std::uint64_t seed) : io(own_io), boot_id(seed) {}
 
-  /// Sets the way to the other nodes, and this node's name among them. Until their list is known
-  /// nothing is granted. Without a call of this the node is alone.
+  /// Connects to the other nodes. Grants nothing until `set_nodes`. A node that is never connected
+  /// owns all limits.
   void connect(const NodeId& own_name, PermitPeers& others);
-  /// The way to the other nodes is closed: nothing is granted any more.
+  /// Disconnects from the other nodes; no permits are granted from here on.
   void disconnect() { this->peers = nullptr; }
   void set_nodes(std::vector<NodeId> nodes);
 
@@ -70,70 +70,71 @@
     return this->io.engines.limits().limit(engine).has_value();
   }
 
-  /// Asks for one send, which may have to wait for its time. The handler may be called at once.
-  void ask(const EngineId& engine, const PermitSpan& span, Handler handler);
+  /// Requests a permit for one send, which may start later. The handler may run before this
+  /// returns.
+  void acquire(const EngineId& engine, const SendWindow& window, Handler handler);
 
-  /// The permit was not used: nothing has reached the engine.
-  void give_back(const SendPermit& permit);
+  /// Returns an unused permit: nothing has reached the engine.
+  void release(const SendPermit& permit);
 
-  /// The last question before the first byte leaves.
-  /// @return whether a request may go to the engine now.
+  /// Final check before the first byte is sent.
+  /// @return whether a request may be sent to the engine now.
   bool may_send(const EngineId& engine, const std::optional<SendPermit>& permit) const;
 
-  /// Takes a message of another node.
+  /// Handle messages of other nodes.
   void on_call(const PermitCall& call);
   void on_answer(const PermitAnswer& answer);
 
  private:
-  /// An engine whose limit this node keeps, or may come to keep.
-  struct Kept {
+  /// Ownership and grant schedule of one engine's limit.
+  struct LimitState {
     PermitSchedule schedule;
-    std::optional<MonotonicTime> in_charge_since;
-    std::optional<double> a_second;  ///< That the schedule goes by.
+    std::optional<MonotonicTime> owner_since;
+    std::optional<double> per_second;  ///< Rate of the schedule.
   };
-  struct Pending {
+  struct PendingCall {
     EngineId engine;
     MonotonicTime sent_at{};
     Handler handler;
     std::unique_ptr<Timer> timer;
   };
-  struct Grant {
-    PermitVerdict verdict = PermitVerdict::kNotTheKeeper;
-    MonotonicTime leaves{};
-    MonotonicTime next{};
+  struct Decision {
+    PermitVerdict verdict = PermitVerdict::kNotOwner;
+    MonotonicTime send_at{};
+    MonotonicTime next_at{};
   };
 
   void tick();
-  void notice_standstill();
-  void look_around();
-  bool in_charge(const EngineId& engine, Kept& kept);
-  Kept& kept(const EngineId& engine);
-  /// @param span unset where only a sign of life is asked for.
-  Grant keep(const EngineId& engine, const std::optional<PermitSpan>& span);
-  void ask_keeper(const NodeId& keeper, const EngineId& engine, const PermitSpan& span,
-                  Handler handler);
-  void call(const NodeId& node, const EngineId& engine, std::uint64_t number,
-            const std::optional<PermitSpan>& span);
-  void on_unanswered(std::uint64_t number);
-  std::optional<SendPermit> take_spare(const EngineId& engine, MonotonicTime needed_at);
+  void detect_stall();
+  void update_ownership();
+  bool is_owner(const EngineId& engine, LimitState& state);
+  LimitState& limit_state(const EngineId& engine);
+  /// @param window unset to only probe the owner.
+  Decision decide(const EngineId& engine, const std::optional<SendWindow>& window);
+  void acquire_from_owner(const NodeId& owner, const EngineId& engine, const SendWindow& window,
+                          Handler handler);
+  void send_call(const NodeId& node, const EngineId& engine, std::uint64_t number,
+                 const std::optional<SendWindow>& window);
+  void on_call_timeout(std::uint64_t number);
+  std::optional<SendPermit> take_returned(const EngineId& engine, MonotonicTime needed_at);
   bool usable(const SendPermit& permit) const;
-  void take_limit(const EngineId& engine, const ToldLimit& told);
-  ToldLimit told_limit(const EngineId& engine) const;
+  void on_limit_report(const EngineId& engine, const LimitReport& report);
+  LimitReport limit_report(const EngineId& engine) const;
 
   EnginePermitsIo io;
   NodeId self;
-  std::uint64_t boot;
-  bool alone = true;
+  std::uint64_t boot_id;
+  bool standalone = true;
   PermitPeers* peers = nullptr;
   bool nodes_known = false;
-  KeeperChoice choice{NodeId()};
-  MonotonicTime calm_since{};  ///< This node has run without a break, and known the others.
-  MonotonicTime looked_at{};
-  std::unordered_map<EngineId, Kept> keeping;
-  std::map<std::uint64_t, Pending> pending;
-  std::vector<SendPermit> spare;  ///< Given back and still good.
-  std::uint64_t numbers = 0;
-  std::unique_ptr<Periodic> ticks;
+  LimitOwnerSelector owner_selector{NodeId()};
+  MonotonicTime stable_since{};  ///< Start of uninterrupted operation with a known node list.
+  MonotonicTime last_tick_at{};
+  std::unordered_map<EngineId, LimitState> limit_states;
+  std::map<std::uint64_t, PendingCall> pending_calls;
+  std::vector<SendPermit> returned_permits;  ///< Unused and still valid.
+  std::uint64_t last_call_number = 0;
+  std::unique_ptr<Periodic> ticker;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/permit_exchange.cpp
+++ b/src/relay/permit_exchange.cpp
@@ -8,8 +8,12 @@
 namespace shuntbank::relay {
 
 PermitExchange::PermitExchange(PeerTransport& own_transport, const PeerDirectory& own_peers,
-                               EnginePermits& own_permits, std::function<double()> share)
-    : transport(own_transport), peers(own_peers), permits(own_permits), heard(std::move(share)) {
+                               EnginePermits& own_permits,
+                               std::function<double()> own_live_fraction)
+    : transport(own_transport),
+      peers(own_peers),
+      permits(own_permits),
+      get_live_fraction(std::move(own_live_fraction)) {
   this->permits.connect(own_peers.own_name(), *this);
 }
 
@@ -24,7 +28,7 @@
   if (record != nullptr) this->transport.send(record->address, bytes);
 }
 
-/// Nodes that are not listed keep no limits and are granted nothing: their list may lack us, too.
+/// Drops messages of unlisted nodes, which may not own limits or get permits.
 void PermitExchange::on_message(std::string_view bytes) {
   if (is_permit_call(bytes)) {
     const auto call = decode_permit_call(bytes);
--- a/src/relay/quarantine.hpp
+++ b/src/relay/quarantine.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Holds back requests that end engine after engine, and sets those apart that may. What it rests
-/// on is in `CrashLedger`; this asks the engines, speaks with the other nodes and tells operators.
+/// Quarantines requests that repeatedly crash engines, and isolates suspects. `CrashLedger`
+/// decides; this class checks engines, exchanges reports with other nodes and informs operators.
 #pragma once
 
 #include <functional>
@@ -20,7 +20,7 @@
 
 namespace shuntbank::relay {
 
-/// What it works with. All of it outlives it.
+/// Dependencies; all must outlive the quarantine.
 struct QuarantineIo {
   Runtime& runtime;
   HttpClient& http;
@@ -30,7 +30,7 @@
   EngineListener& listener;
 };
 
-/// The quarantine of one node.
+/// Quarantine state of one node.
 class Quarantine {
  public:
   explicit Quarantine(const QuarantineIo& own_io);
@@ -38,99 +38,101 @@
   Quarantine(const Quarantine&) = delete;
   Quarantine& operator=(const Quarantine&) = delete;
 
-  /// @return whether nothing is known against any request, so that none needs an identity.
-  bool idle() const { return this->ledger.empty(); }
+  /// @return whether there are no suspects, so that requests need no identity.
+  bool empty() const { return this->ledger.empty(); }
 
-  CrashStanding standing(const TriedRequest& tried) const;
+  SuspectStatus status(const CallerRequest& attempt) const;
 
-  /// @return the engines at which other suspects are under way.
-  std::set<EngineKey> engines_on_trial(const RequestIdentity& request) const;
+  /// @return the engines that currently run other suspects.
+  std::set<EngineKey> trial_engines(const RequestIdentity& request) const;
 
-  /// A suspect is sent to an engine, or the engine has it no more.
+  /// Marks the time during which an engine runs a suspect.
   void begin_trial(const RequestIdentity& request, const EngineId& engine);
   void end_trial(const RequestIdentity& request, const EngineId& engine);
 
-  /// An engine broke a request off that it was sent at `sent_at`; or was given up, having said
-  /// nothing for a while.
-  void on_broken(const TriedRequest& tried, const EngineId& engine, MonotonicTime sent_at);
-  void on_silent(const TriedRequest& tried, const EngineId& engine, MonotonicTime sent_at);
+  /// An engine interrupted a request sent at `sent_at`, or was given up after a period without
+  /// output.
+  void on_interrupted(const CallerRequest& attempt, const EngineId& engine, MonotonicTime sent_at);
+  void on_unresponsive(const CallerRequest& attempt, const EngineId& engine, MonotonicTime sent_at);
 
-  /// An engine gave a whole answer: nothing is wrong with the request.
-  void on_answered(const RequestIdentity& request);
+  /// An engine completed the request, which clears it.
+  void on_completed(const RequestIdentity& request);
 
-  /// A try ended without one. The caller may come again, at any node.
-  void on_failed(const RequestIdentity& request);
+  /// An attempt failed. The caller may retry at any node.
+  void on_attempt_failed(const RequestIdentity& request);
 
-  /// A request that is held back has come again.
-  void on_held_again(const RequestIdentity& request);
+  /// A quarantined request was retried.
+  void extend_quarantine(const RequestIdentity& request);
 
-  /// An engine has ended.
-  void on_engine_ended(const EngineId& engine);
+  void on_engine_crashed(const EngineId& engine);
 
-  /// An engine has answered what it was sent at `sent_at`.
+  /// An engine has answered a request that was sent at `sent_at`.
   void on_engine_answered(const EngineId& engine, MonotonicTime sent_at);
 
-  /// An operator speaks for a request. @return whether it was held back.
-  bool lift(const RequestIdentity& request);
+  /// Releases a request on behalf of an operator. @return whether it was quarantined.
+  bool release(const RequestIdentity& request);
 
-  /// @return all requests that are held back.
-  std::vector<HeldRequest> held() const;
+  std::vector<QuarantinedRequest> quarantined() const;
 
-  /// Takes over from the store what an earlier life has held back.
-  void restore(const std::vector<HeldRequest>& held);
+  /// Restores entries from the store.
+  void restore(const std::vector<QuarantinedRequest>& entries);
 
-  /// @return what is to be told to the other nodes now.
+  /// @return the reports that are due to be sent to other nodes.
   std::vector<CrashReport> take_reports();
 
-  /// Takes what other nodes have told.
-  void learn(const std::vector<CrashReport>& reports);
+  /// Processes reports of other nodes.
+  void on_peer_reports(const std::vector<CrashReport>& reports);
 
-  /// Sets what is called when there is news for the other nodes.
-  void on_news(std::function<void()> handler) { this->news = std::move(handler); }
+  /// Sets the handler for new reports to send.
+  void on_reports_pending(std::function<void()> handler) {
+    this->reports_pending_handler = std::move(handler);
+  }
 
-  /// Sets what is called when other requests are held back than before. @param own this node saw an
-  /// engine end under the request or was told by an operator; otherwise it has heard of it.
-  using HeldHandler = std::function<void(bool own)>;
-  void on_held_changed(HeldHandler handler) { this->held_changed = std::move(handler); }
+  /// Sets the handler for changes of the quarantined requests. @param own whether this node saw the
+  /// crash or was told by an operator, rather than by another node.
+  using ChangeHandler = std::function<void(bool own)>;
+  void on_quarantine_changed(ChangeHandler handler) { this->change_handler = std::move(handler); }
 
  private:
-  /// News on its way to the other nodes.
-  struct Telling {
-    CrashNews news = CrashNews::kBroken;
+  /// A report to be sent to the other nodes.
+  struct PendingReport {
+    CrashEvent event = CrashEvent::kInterrupted;
     RequestIdentity request;
     EngineKey engine = 0;
-    CallerKey caller = 0;
+    CallerAddressHash caller = 0;
     MonotonicTime at{};
-    int told = 0;
-    MonotonicTime next{};
+    int send_count = 0;
+    MonotonicTime next_send_at{};
   };
-  bool may_have_ended_it(const EngineId& engine, MonotonicTime sent_at) const;
-  /// @return whether anything is known against a request, whoever sends it.
-  bool suspects(const RequestIdentity& request) const;
-  void tell(CrashNews what, const TriedRequest& tried, EngineKey engine, MonotonicTime at);
-  void tell_all(const RequestIdentity& request);
-  void learn_one(MonotonicTime now, const CrashReport& report);
-  void settle();
-  void ask(EngineKey key);
-  /// An engine that was asked whether it lives.
-  struct AskedEngine {
+  bool may_have_crashed(const EngineId& engine, MonotonicTime sent_at) const;
+  /// @return whether a request is a suspect from any caller.
+  bool is_suspect(const RequestIdentity& request) const;
+  void queue_report(CrashEvent event, const CallerRequest& attempt, EngineKey engine,
+                    MonotonicTime at);
+  void queue_evidence(const RequestIdentity& request);
+  void apply_report(MonotonicTime now, const CrashReport& report);
+  void process_ledger();
+  void check_liveness(EngineKey key);
+  /// A liveness check of one engine.
+  struct LivenessCheck {
     EngineId engine;
     std::uint64_t started_unix_ms = 0;
-    MonotonicTime at{};
+    MonotonicTime sent_at{};
   };
-  bool replaced(const AskedEngine& asked, const HttpReply& reply) const;
-  void on_reply(const AskedEngine& asked, const tl::expected<HttpReply, TransferError>& reply);
-  void note_held_changed(bool own);
-  void log_verdict(const HeldRequest& held, const char* source) const;
+  bool is_replaced(const LivenessCheck& check, const HttpReply& reply) const;
+  void on_liveness_reply(const LivenessCheck& check,
+                         const tl::expected<HttpReply, TransferError>& reply);
+  void notify_changed(bool own);
+  void log_quarantined(const QuarantinedRequest& entry, const char* source) const;
   void tick();
 
   QuarantineIo io;
   CrashLedger ledger;
-  std::vector<Telling> tellings;
-  std::set<RequestIdentity> told;  ///< Other nodes have heard of them from this one.
-  std::function<void()> news;
-  HeldHandler held_changed;
-  std::unique_ptr<Periodic> ticking;
+  std::vector<PendingReport> pending_reports;
+  std::set<RequestIdentity> reported_requests;  ///< Requests that this node has reported to others.
+  std::function<void()> reports_pending_handler;
+  ChangeHandler change_handler;
+  std::unique_ptr<Periodic> ticker;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -21,10 +21,9 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Between two looks at whether a stopping process has become idle.
-constexpr Duration kStopTick = std::chrono::milliseconds(100);
+constexpr Duration kStopCheckInterval = std::chrono::milliseconds(100);
 
-/// Left of the grace for giving up what is under way.
+/// Reserved at the end of the stop grace for aborting requests in flight.
 constexpr Duration kStopMargin = std::chrono::milliseconds(600);
 
 constexpr std::string_view kMetricsPath = "/metrics";
@@ -38,17 +37,17 @@
   return settings;
 }
 
-/// Between two looks at who reads the store. A reader that is silent is noticed that much later.
-constexpr Duration kReadersTick = std::chrono::milliseconds(250);
+/// Delays the detection of a silent store reader by up to this much.
+constexpr Duration kReadersCheckInterval = std::chrono::milliseconds(250);
 
 CatalogSettings catalog_settings(const RelaySettings& settings) {
   CatalogSettings catalog = settings.catalog;
-  catalog.joins = !settings.first_start;
+  catalog.join_existing = !settings.bootstrap;
   return catalog;
 }
 
-constexpr std::size_t kMaxCallers = 2000;
-constexpr std::size_t kMaxWatchers = 64;
+constexpr std::size_t kMaxCallerConnections = 2000;
+constexpr std::size_t kMaxAdminConnections = 64;
 
 }  // namespace
 
@@ -63,7 +62,7 @@
         http_(loop, {}),
         node_({runtime, http_, platform.dialect}, settings),
         callers_(
-            loop, listen_on(addresses.callers, kMaxCallers),
+            loop, listen_on(addresses.callers, kMaxCallerConnections),
             [this](HttpRequest request, const std::shared_ptr<ConnectionResponder>& responder) {
               node_.handle(std::move(request), responder);
             }),
@@ -71,21 +70,22 @@
         quarantine_store_(runtime, store_, node_),
         lease_(runtime, store_, node_, settings.node, settings.lease),
         roles_({runtime, http_, platform.dialect}, lease_, node_, settings.roles, settings.stages) {
-    if (duties_ != nullptr && settings.orders_engines) {
+    if (duties_ != nullptr && settings.engine_ordering_enabled) {
       capacity_ = std::make_unique<CapacityCoordinator>(runtime, store_, lease_, *duties_, node_,
                                                         settings.node, settings.capacity);
     }
     if (addresses.peers.empty()) {
-      // Nobody will ever give hints.
+      // Without peers there are no revision hints, so this node reads the store itself.
       catalog_.set_readers({true, runtime.now()});
     } else {
-      exchange_load(loop, addresses.peers);
-      report_usage();
+      start_load_exchange(loop, addresses.peers);
+      start_usage_reporting();
     }
-    node_.on_adopted([this](const RouteTable& table) { take_limits(table); });
-    node_.on_address_free([this](const std::string& address) { http_.forget_peer(address); });
+    node_.on_configuration_adopted(
+        [this](const RouteTable& table) { apply_request_limits(table); });
+    node_.on_address_released([this](const std::string& address) { http_.forget_peer(address); });
     for (const std::string& address : {addresses.ready, addresses.control, addresses.metrics}) {
-      if (!address.empty()) serve_state(loop, address, address == addresses.control);
+      if (!address.empty()) serve_admin(loop, address, address == addresses.control);
     }
     log_event(LogArea::kProcess, LogLevel::kInfo, "started",
               {{"node", settings.node},
@@ -102,63 +102,67 @@
   void stop(std::function<void()> on_stopped) {
     if (stopping_) return;
     stopping_ = true;
-    stopped_ = std::move(on_stopped);
-    stop_began_ = runtime_.now();
+    stopped_handler_ = std::move(on_stopped);
+    stop_started_at_ = runtime_.now();
     node_.begin_stop();
     lease_.stop();
     callers_.close_after_answers();
-    log_event(LogArea::kProcess, LogLevel::kInfo, "stopping", {{"under_way", node_.under_way()}});
-    stop_timer_ = std::make_unique<Periodic>(runtime_, kStopTick, [this] { stop_tick(); });
+    log_event(LogArea::kProcess, LogLevel::kInfo, "stopping", {{"under_way", node_.in_flight()}});
+    stop_timer_ =
+        std::make_unique<Periodic>(runtime_, kStopCheckInterval, [this] { check_stopped(); });
   }
 
  private:
-  void take_limits(const RouteTable& table) {
+  void apply_request_limits(const RouteTable& table) {
     const RequestLimits& limits = table.configuration().limits;
     callers_.set_limits({limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout,
                          limits.idle_timeout});
   }
 
-  void exchange_load(asio::io_context& loop, const std::string& address) {
+  void start_load_exchange(asio::io_context& loop, const std::string& address) {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint) throw std::invalid_argument(address + ": " + endpoint.error());
     peers_ = make_peer_transport(loop, *endpoint, kMaxCacheSnapshot);
     LoadExchangeSettings exchange = settings_.exchange;
     exchange.zone = settings_.zone;
-    exchange.joins = !settings_.first_start;
+    exchange.join_existing = !settings_.bootstrap;
     exchange_ =
         std::make_unique<LoadExchange>(runtime_, store_, *peers_, node_, settings_.node, exchange);
     exchange_->connect_revisions(
         [this] { return catalog_.progress(); },
         [this](const CatalogRevisions& revisions) { catalog_.hint(revisions); });
-    exchange_->on_configuration_asked(
+    exchange_->on_configuration_request(
         [this](const ConfigurationCall& call) { return catalog_.configuration_for_peer(call); });
-    catalog_.set_asking([this] {
-      exchange_->ask_configuration(
-          catalog_.configuration_call(),
-          [this](ConfigurationMessage message) { catalog_.take_from_peer(std::move(message)); });
+    catalog_.set_peer_fetch([this] {
+      exchange_->request_configuration(catalog_.configuration_call(),
+                                       [this](ConfigurationMessage message) {
+                                         catalog_.apply_peer_configuration(std::move(message));
+                                       });
+    });
+    readers_timer_ = std::make_unique<Periodic>(runtime_, kReadersCheckInterval, [this] {
+      catalog_.set_readers(exchange_->store_readers());
     });
-    readers_tick_ = std::make_unique<Periodic>(
-        runtime_, kReadersTick, [this] { catalog_.set_readers(exchange_->readers()); });
   }
 
-  void report_usage() {
-    if (duties_ == nullptr || settings_.usage.window == Duration::zero()) return;
+  void start_usage_reporting() {
+    if (duties_ == nullptr || settings_.usage.window_length == Duration::zero()) return;
     usage_ =
         std::make_unique<UsageExchange>(runtime_, *peers_, exchange_->peers(), exchange_->boot(),
-                                        settings_.first_start, settings_.usage);
+                                        settings_.bootstrap, settings_.usage);
     exchange_->on_usage_message([this](std::string_view bytes) { usage_->on_message(bytes); });
-    node_.on_began([this](const TenantName& tenant) { usage_->on_began(tenant); });
+    node_.on_request_started(
+        [this](const TenantName& tenant) { usage_->on_request_started(tenant); });
     usage_reporter_ =
         std::make_unique<UsageReporter>(runtime_, store_, lease_, *duties_, *usage_,
                                         node_.metrics(), settings_.node, settings_.usage);
   }
 
-  void serve_state(asio::io_context& loop, const std::string& address, bool operators) {
+  void serve_admin(asio::io_context& loop, const std::string& address, bool is_control) {
     servers_.push_back(std::make_unique<Http1Server>(
-        loop, listen_on(address, kMaxWatchers),
-        [this, operators](const HttpRequest& request, const auto& responder) {
+        loop, listen_on(address, kMaxAdminConnections),
+        [this, is_control](const HttpRequest& request, const auto& responder) {
           if (request.path == kMetricsPath) return responder->respond(metrics());
-          if (operators && is_quarantine_path(request.path)) {
+          if (is_control && is_quarantine_path(request.path)) {
             return responder->respond(answer_quarantine(request, node_.quarantine()));
           }
           const bool ready = node_.ready();
@@ -168,7 +172,7 @@
 
   HttpReply metrics() {
     RelayMetrics& metrics = node_.metrics();
-    metrics.set_gauge("requests_under_way", static_cast<double>(node_.under_way()));
+    metrics.set_gauge("requests_under_way", static_cast<double>(node_.in_flight()));
     metrics.set_gauge("callers_connected", static_cast<double>(callers_.stats().open_connections));
     metrics.set_gauge("callers_rejected", static_cast<double>(callers_.stats().rejected));
     metrics.set_gauge("engine_connections_opened", static_cast<double>(http_.stats().opened));
@@ -176,8 +180,9 @@
     metrics.set_gauge("log_lines_left_out", static_cast<double>(log_lines_left_out()));
     metrics.set_gauge("configuration_age_seconds", to_seconds(catalog_.configuration_age()));
     metrics.set_gauge("engines_age_seconds", to_seconds(catalog_.engines_age()));
-    if (exchange_) show_exchange(metrics);
-    if (usage_) metrics.set_gauge("usage_left_out", static_cast<double>(usage_->left_out()));
+    if (exchange_) set_exchange_gauges(metrics);
+    if (usage_)
+      metrics.set_gauge("usage_left_out", static_cast<double>(usage_->dropped_requests()));
     HttpReply reply;
     reply.status = http_status::kOk;
     reply.headers.add("Content-Type", "text/plain; version=0.0.4");
@@ -185,31 +190,31 @@
     return reply;
   }
 
-  void show_exchange(RelayMetrics& metrics) const {
+  void set_exchange_gauges(RelayMetrics& metrics) const {
     const ZoneExchange& zones = exchange_->zones();
-    metrics.set_gauge("nodes_known", static_cast<double>(exchange_->nodes()));
-    metrics.set_gauge("fleet_view_nodes", static_cast<double>(zones.nodes_seen()));
-    metrics.set_gauge("fleet_view_age_seconds", to_seconds(runtime_.now() - zones.view_at()));
+    metrics.set_gauge("nodes_known", static_cast<double>(exchange_->node_count()));
+    metrics.set_gauge("fleet_view_nodes", static_cast<double>(zones.view_node_count()));
+    metrics.set_gauge("fleet_view_age_seconds", to_seconds(runtime_.now() - zones.last_view_at()));
     metrics.set_gauge("collecting", zones.collecting() ? 1 : 0);
   }
 
-  void stop_tick() {
-    const Duration elapsed = runtime_.now() - stop_began_;
-    const Duration last = settings_.stop_grace - kStopMargin;
-    if (!drained_ && elapsed >= std::min(settings_.stop_listening_after, last)) {
+  void check_stopped() {
+    const Duration elapsed = runtime_.now() - stop_started_at_;
+    const Duration give_up_after = settings_.stop_grace - kStopMargin;
+    if (!drained_ && elapsed >= std::min(settings_.stop_listening_after, give_up_after)) {
       drained_ = true;
       callers_.drain();
     }
-    if (elapsed >= last) node_.give_up_all();
+    if (elapsed >= give_up_after) node_.abort_all();
     const bool idle = drained_ && callers_.stats().open_connections == 0;
-    if (!idle && elapsed < last) return;
-    const auto stopped = std::exchange(stopped_, nullptr);
-    if (!stopped) return;
-    if (usage_) usage_->tell_last();
+    if (!idle && elapsed < give_up_after) return;
+    const auto handler = std::exchange(stopped_handler_, nullptr);
+    if (!handler) return;
+    if (usage_) usage_->send_final_counts();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopped",
-              {{"under_way", node_.under_way()}, {"after_s", to_seconds(elapsed)}});
-    // The last answers are still on their way to the kernel.
-    call_after(runtime_, kStopTick, stopped);
+              {{"under_way", node_.in_flight()}, {"after_s", to_seconds(elapsed)}});
+    // The last answers may not have reached the kernel yet.
+    call_after(runtime_, kStopCheckInterval, handler);
   }
 
   Runtime& runtime_;
@@ -225,15 +230,15 @@
   RoleCoordinator roles_;
   std::unique_ptr<PeerTransport> peers_;
   std::unique_ptr<LoadExchange> exchange_;
-  std::unique_ptr<Periodic> readers_tick_;
+  std::unique_ptr<Periodic> readers_timer_;
   std::unique_ptr<CapacityCoordinator> capacity_;
   std::unique_ptr<UsageExchange> usage_;
   std::unique_ptr<UsageReporter> usage_reporter_;
   std::vector<std::unique_ptr<Http1Server>> servers_;
   bool stopping_ = false;
   bool drained_ = false;
-  MonotonicTime stop_began_{};
-  std::function<void()> stopped_;
+  MonotonicTime stop_started_at_{};
+  std::function<void()> stopped_handler_;
   std::unique_ptr<Periodic> stop_timer_;
 };
 
--- a/src/relay/relay_session_log.cpp
+++ b/src/relay/relay_session_log.cpp
@@ -1,4 +1,4 @@
-// What a relayed request logs of its attempts.
+// Log lines of the attempts of a relayed request.
 #include <utility>
 
 #include "common/log.hpp"
@@ -11,7 +11,7 @@
   const EngineView* view = context_.engines.find(engine_);
   const EngineModel& model = std::as_const(context_.engines).model_of(service_name_);
   const bool load_known = view != nullptr && view->load.has_value();
-  const bool peers_known = view != nullptr && view->peers.has_value();
+  const bool peers_known = view != nullptr && view->peer_load.has_value();
   log_event(LogArea::kCallers, LogLevel::kInfo, event,
             {{"request", id_},
              {"route", route_.name},
@@ -20,20 +20,20 @@
              {"service", service_name_.value()},
              {"step", step_name()},
              {"why", why},
-             {"cost_ms", chosen_.cost_ms},
-             {"expected_ms", expected_ms_},
+             {"cost_ms", placement_.cost_ms},
+             {"expected_ms", expected_first_token_ms_},
              {"deferred", deferred_},
-             {"reading_ms", model.reading().read_ms(static_cast<double>(unread_))},
+             {"reading_ms", model.prefill().prefill_ms(static_cast<double>(prefill_tokens_))},
              {"handover_ms", model.handover_ms()},
-             {"candidates", chosen_.candidates},
-             {"unread", unread_},
+             {"candidates", placement_.candidates},
+             {"unread", prefill_tokens_},
              {"fetch_from", fetch_address_},
              {"in_flight", view == nullptr ? 0 : view->in_flight},
-             {"peers_in_flight", peers_known ? view->peers->in_flight : 0},
+             {"peers_in_flight", peers_known ? view->peer_load->in_flight : 0},
              {"load_age_ms", load_known ? whole_ms(now - view->load_at) : -1},
              {"sends", history_.sends},
              {"may_have_run", history_.may_have_run},
-             {"extra", extra_},
+             {"extra", charged_to_budget_},
              {"budget", budget_left()},
              {"left_ms", whole_ms(expires_ - now)},
              {"age_ms", whole_ms(now - arrived_)}},
--- a/src/relay/relay_session_quarantine.cpp
+++ b/src/relay/relay_session_quarantine.cpp
@@ -1,4 +1,4 @@
-// What a relayed request does about engines that end under it.
+// Detection and quarantine of requests that crash engines.
 #include "common/log.hpp"
 #include "net/http_status.hpp"
 #include "relay/relay_session.hpp"
@@ -7,89 +7,86 @@
 namespace shuntbank::relay {
 namespace {
 
-/// Engines that may have ended under a request, from which on it is given to none that has another
-/// such request. With fewer, neighbours of the guilty one would be refused where engines are few.
-constexpr std::size_t kRunApartFrom = 2;
+/// From this many interruptions on, a request never shares an engine with another suspect. A lower
+/// threshold would refuse harmless requests where engines are few.
+constexpr std::size_t kIsolationThreshold = 2;
 
-/// Engines that may have ended under a request, from which on it is sent to no further one until
-/// that is known: as many as are enough to hold it back.
-constexpr std::size_t kStopFrom = CrashLedgerSettings().enough;
+/// From this many interruptions on, a request is not sent again until the crashes are confirmed.
+/// Equal to the quarantine threshold.
+constexpr std::size_t kRetryStopThreshold = CrashLedgerSettings().quarantine_threshold;
 
-/// An engine that has said nothing for so long when it is given up may have gone dark: many times
-/// the pause between the tokens of a busy batch.
-constexpr Duration kSilence = std::chrono::milliseconds(500);
+/// An engine that was silent for this long when its attempt was cancelled may be unresponsive. Many
+/// times the event interval of a busy batch.
+constexpr Duration kSilenceTimeout = std::chrono::milliseconds(500);
 
-constexpr const char* kMendIt =
+constexpr const char* kQuarantineAdvice =
     ", and it was not run. Do not send it again as it is: change it, or ask the operators to let "
     "it "
     "go.\n";
 
 }  // namespace
 
-CrashStanding RelaySession::crash_standing() const {
-  return identity_ ? context_.quarantine.standing(*identity_) : CrashStanding();
+SuspectStatus RelaySession::suspect_status() const {
+  return identity_ ? context_.quarantine.status(*identity_) : SuspectStatus();
 }
 
-bool RelaySession::runs_apart() const {
-  return crash_standing().broken >= kRunApartFrom;
+bool RelaySession::needs_isolation() const {
+  return suspect_status().interruptions >= kIsolationThreshold;
 }
 
-bool RelaySession::ends_engines() const {
-  const CrashStanding standing = crash_standing();
-  return standing.held_for.has_value() || standing.broken >= kStopFrom;
+bool RelaySession::crash_limit_reached() const {
+  const SuspectStatus status = suspect_status();
+  return status.quarantine_left.has_value() || status.interruptions >= kRetryStopThreshold;
 }
 
-/// A request under which engines have ended one after the other gets its final answer at once. It
-/// protects all that runs at the next engine: in an incident up to ten streams each, at 49 engines.
-bool RelaySession::held_back() {
-  if (context_.quarantine.idle()) return false;
+/// Answers a quarantined request at once, which protects the other requests of the next engine.
+bool RelaySession::reject_if_quarantined() {
+  if (context_.quarantine.empty()) return false;
   identity_ = identity_of(request_, tenant_name());
-  const CrashStanding standing = crash_standing();
-  if (standing.held_for) {
-    answer_held_back(standing);
+  const SuspectStatus status = suspect_status();
+  if (status.quarantine_left) {
+    answer_quarantined(status);
     return true;
   }
-  const char* const why = reason_to_wait(standing);
+  const char* const why = refusal_reason(status);
   if (why == nullptr) return false;
   refuse(why);
   return true;
 }
 
-/// The status says that it has not run; that and the words tell the caller to mend the request. A
-/// client error would be truer of it, but says nothing about whether it has run.
-void RelaySession::answer_held_back(const CrashStanding& standing) {
-  context_.quarantine.on_held_again(identity_->request);
-  const std::string why = std::to_string(standing.ended) + " engines have ended under this request";
+/// Answers 429, as other client errors don't tell the caller that the request was not run.
+void RelaySession::answer_quarantined(const SuspectStatus& status) {
+  context_.quarantine.extend_quarantine(identity_->request);
+  const std::string why = std::to_string(status.crashes) + " engines have ended under this request";
   log_attempt("held_back", why);
   HttpHeaders headers;
-  headers.add(context_.dialect.names().retry_after, retry_after_text(*standing.held_for));
-  respond(http_status::kTooManyRequests, headers, why + kMendIt, "held_back");
+  headers.add(context_.dialect.names().retry_after, retry_after_text(*status.quarantine_left));
+  respond(http_status::kTooManyRequests, headers, why + kQuarantineAdvice, "held_back");
 }
 
-const char* RelaySession::reason_to_wait(const CrashStanding& standing) {
-  if (!standing.suspect()) return nullptr;
-  // One broken connection is no reason to hold up what a caller sends again and again.
-  const bool strong = standing.ended > 0 || standing.broken >= kRunApartFrom;
-  if (standing.under_way && strong) {
-    return "another try is under way, and engines may have ended under it";
+const char* RelaySession::refusal_reason(const SuspectStatus& status) {
+  if (!status.is_suspect()) return nullptr;
+  // A single interruption does not block concurrent attempts.
+  const bool strong_evidence = status.crashes > 0 || status.interruptions >= kIsolationThreshold;
+  if (status.in_flight && strong_evidence) {
+    return "another attempt is in flight, and engines may have crashed under it";
   }
-  // Others have ended engines with it. That is no reason to refuse whom nothing is known against;
-  // but its own try tells, and goes no further than one engine.
-  const bool known = standing.ended == standing.broken;
-  if (standing.broken < kStopFrom || known) return nullptr;
-  return "it is being found out whether engines have ended under it";
+  // Confirmed crashes came from other callers, so this caller gets an attempt, at one engine only.
+  const bool confirmed = status.crashes == status.interruptions;
+  if (status.interruptions < kRetryStopThreshold || confirmed) return nullptr;
+  return "engine crashes under this request are not confirmed yet";
 }
 
-/// Suspects that run apart from each other are told apart by the next engine that ends.
-void RelaySession::keep_apart() {
-  apart_from_.clear();
-  if (!crash_standing().suspect()) return;
-  apart_from_ = context_.quarantine.engines_on_trial(identity_->request);
+/// Keeps suspects at different engines, so that the next crash identifies the cause.
+void RelaySession::update_crash_risk_engines() {
+  crash_risk_engines_.clear();
+  if (!suspect_status().is_suspect()) return;
+  crash_risk_engines_ = context_.quarantine.trial_engines(identity_->request);
 }
 
-/// The engine broke off what it had of the request. Tries of one request bear the same identity, so
-/// that what they met can be put together from the logs of all nodes.
-void RelaySession::note_broken() {
+/// Logs the identity, which is the same for all attempts of a request, so that the logs of all
+/// nodes can be joined.
+void RelaySession::report_interruption() {
   if (!identity_) identity_ = identity_of(request_, tenant_name());
   log_event(LogArea::kCallers, LogLevel::kInfo, "broken_by_engine",
             {{"request", id_},
@@ -98,13 +95,13 @@
              {"engine", engine_.value()},
              {"step", step_name()},
              {"after_ms", to_ms(context_.runtime.now() - sent_at_)}});
-  context_.quarantine.on_broken(*identity_, engine_, sent_at_);
+  context_.quarantine.on_interrupted(*identity_, engine_, sent_at_);
 }
 
-void RelaySession::note_silence() {
-  if (context_.runtime.now() - heard_at_ < kSilence) return;
+void RelaySession::report_unresponsive() {
+  if (context_.runtime.now() - last_activity_at_ < kSilenceTimeout) return;
   if (!identity_) identity_ = identity_of(request_, tenant_name());
-  context_.quarantine.on_silent(*identity_, engine_, sent_at_);
+  context_.quarantine.on_unresponsive(*identity_, engine_, sent_at_);
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/role_coordinator.hpp
+++ b/src/relay/role_coordinator.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Gives engines the orders of the stage planner while this node has the lease.
+/// Sends the stage planner's orders to engines while this node holds the lease.
 #pragma once
 
 #include <memory>
@@ -15,10 +15,10 @@
 
 namespace shuntbank::relay {
 
-/// The part of one node in the planning of engines' stages.
+/// Runs on every node; acts only on the lease holder.
 class RoleCoordinator {
  public:
-  /// All references outlive this.
+  /// All references must outlive this object.
   RoleCoordinator(const RelayIo& io, LeaseKeeper& lease, RelayNode& node,
                   const RoleCoordinatorSettings& settings, const StagePlannerSettings& planner);
   ~RoleCoordinator();
@@ -27,16 +27,16 @@
 
  private:
   void plan();
-  void ask(const EngineRecord& record, EngineStage stage);
+  void request_report(const EngineRecord& record, EngineStage stage);
   void on_report(const EngineRecord& record, EngineStage stage, const HttpReply& reply);
-  void order(const EngineRecord& record, EngineStage stage, const EngineReport& report);
+  void send_order(const EngineRecord& record, EngineStage stage, const EngineReport& report);
 
   RelayIo io_;
   LeaseKeeper& lease_;
   RelayNode& node_;
   RoleCoordinatorSettings settings_;
   StagePlanner planner_;
-  std::size_t orders_under_way_ = 0;
+  std::size_t calls_in_flight_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/core/relay/attempt_outcome_test.cpp
+++ b/tests/core/relay/attempt_outcome_test.cpp
@@ -5,8 +5,8 @@
 using namespace shuntbank;
 using namespace shuntbank::relay;
 
-Test(attempt_outcome, keeps_its_promises_over_any_course) {
-  SHUNTBANK_PROPERTY("at most once, true promises, bounded attempts", [] {
+Test(attempt_outcome, never_reruns_unsafe_requests_nor_refuses_after_a_run) {
+  SHUNTBANK_PROPERTY("at most one run of unsafe requests, correct refusals, bounded attempts", [] {
     Route route;
     route.kind = *rc::gen::element(RouteKind::kSafe, RouteKind::kUnsafe, RouteKind::kStream);
     route.resumable = route.kind == RouteKind::kStream && *rc::gen::arbitrary<bool>();
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -37,7 +37,7 @@
     query.service = &service;
     query.prompt = &prompt;
     query.stage = EngineStage::kPrefill;
-    query.engines_may_keep_more = false;
+    query.cache_view_incomplete = false;
   }
   std::optional<Placement> choose() { return place(kNow, engines, query, PlacementSettings{}); }
 
@@ -55,76 +55,77 @@
   cr_assert_eq(one.choose()->engine, other.choose()->engine);
 }
 
-Test(placement, leaves_out_what_drains_has_another_stage_or_was_met) {
+Test(placement, excludes_draining_other_stage_and_excluded_engines) {
   Fleet fleet;
   for (int i = 0; i < 4; ++i) {
-    EngineRecord leaving = engine("p" + std::to_string(i), EngineStage::kPrefill);
-    leaving.draining = true;
-    fleet.engines.upsert(leaving);
+    EngineRecord draining = engine("p" + std::to_string(i), EngineStage::kPrefill);
+    draining.draining = true;
+    fleet.engines.upsert(draining);
   }
   cr_assert_eq(fleet.choose()->engine.value(), "p4");
-  const std::vector<EngineId> met{EngineId("p4")};
-  fleet.query.avoid = &met;
+  const std::vector<EngineId> excluded{EngineId("p4")};
+  fleet.query.excluded_engines = &excluded;
   cr_assert_not(fleet.choose().has_value());
 }
 
 Test(placement, uses_an_avoided_engine_only_when_no_other_is_left) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
-  fleet.engines.on_health(kNow, home, AttemptHealth::kUnreachable);
+  fleet.engines.on_attempt_health(kNow, home, AttemptHealth::kUnreachable);
   cr_assert_neq(fleet.choose()->engine, home);
   for (int i = 0; i < 5; ++i) {
-    fleet.engines.on_health(kNow, EngineId("p" + std::to_string(i)), AttemptHealth::kUnreachable);
+    fleet.engines.on_attempt_health(kNow, EngineId("p" + std::to_string(i)),
+                                    AttemptHealth::kUnreachable);
   }
   cr_assert(fleet.choose().has_value());
 }
 
-Test(placement, fetches_kept_parts_when_their_engine_is_loaded) {
+Test(placement, fetches_cached_parts_when_their_engine_is_loaded) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
-  fleet.engines.find(home)->cache.on_read(fleet.prompt.parts, 1000000, kNow);
+  fleet.engines.find(home)->cache.on_prompt_read(fleet.prompt.parts, 1000000, kNow);
   cr_assert_eq(fleet.choose()->engine, home);
-  cr_assert_eq(fleet.choose()->unread_tokens, 0);
-  fleet.engines.on_sent(home, {60000, false});
+  cr_assert_eq(fleet.choose()->prefill_tokens, 0);
+  fleet.engines.on_attempt_sent(home, {60000, false});
   const auto spilled = fleet.choose();
   cr_assert_neq(spilled->engine, home);
   cr_assert_eq(*spilled->fetch_from, home);
-  cr_assert_eq(spilled->unread_tokens, 0);
+  cr_assert_eq(spilled->prefill_tokens, 0);
 }
 
 Test(placement, leaves_the_home_when_reading_the_shared_parts_elsewhere_is_quicker) {
-  // A fixed bonus in milliseconds, right for slow engines, let queues stand at quick ones.
+  // Guards against a fixed bonus for the home, which lets queues build up at fast engines.
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
-  const double shared_ms = 12000 * fleet.engines.model_of(fleet.service.name).reading().token_ms();
+  const double shared_ms = 12000 * fleet.engines.model_of(fleet.service.name).prefill().token_ms();
   const auto tokens_of = [&](double ms) {
     return static_cast<std::uint64_t>(
-        ms / fleet.engines.model_of(fleet.service.name).reading().token_ms());
+        ms / fleet.engines.model_of(fleet.service.name).prefill().token_ms());
   };
-  fleet.engines.on_sent(home, {tokens_of(shared_ms), false});
+  fleet.engines.on_attempt_sent(home, {tokens_of(shared_ms), false});
   cr_assert_eq(fleet.choose()->engine, home);
-  fleet.engines.on_sent(home, {tokens_of(2 * shared_ms), false});
+  fleet.engines.on_attempt_sent(home, {tokens_of(2 * shared_ms), false});
   cr_assert_neq(fleet.choose()->engine, home);
 }
 
-Test(placement, counts_what_other_nodes_have_under_way) {
+Test(placement, counts_the_load_of_other_nodes) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
   fleet.engines.on_peer_load(kNow, NodeId("n2"), {{home, {3, 90000}}});
   cr_assert_neq(fleet.choose()->engine, home);
-  fleet.engines.forget_silent_peers(kNow + 3s);
+  fleet.engines.expire_peer_load(kNow + 3s);
   cr_assert_eq(fleet.choose()->engine, home);
 }
 
-Test(placement, assumes_parts_at_their_home_after_a_restart) {
+Test(placement, assumes_parts_cached_at_home_after_a_restart) {
   Fleet fleet;
-  cr_assert_eq(fleet.choose()->unread_tokens, 15000);
-  fleet.query.engines_may_keep_more = true;
-  cr_assert_eq(fleet.choose()->unread_tokens, 3000);
+  cr_assert_eq(fleet.choose()->prefill_tokens, 15000);
+  fleet.query.cache_view_incomplete = true;
+  cr_assert_eq(fleet.choose()->prefill_tokens, 3000);
 }
 
-Test(placement, spreads_prompts_that_nodes_place_on_the_same_view) {
-  // Seen at 66 nodes in an overload: all chose the engine that waited least, until the next view.
+Test(placement, spreads_prompts_placed_on_a_shared_view) {
+  // Guards against all nodes choosing the same least loaded engine until the next load view.
   Fleet fleet;
   fleet.engines.set_shared_view_age(200ms);
   LoadRange view;
@@ -142,7 +143,7 @@
   for (const auto& [engine, requests] : chosen) cr_assert_lt(requests, 45, "%d", requests);
 }
 
-Test(placement, does_not_spread_where_engines_stand_idle) {
+Test(placement, does_not_spread_over_idle_engines) {
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
   fleet.engines.set_shared_view_age(200ms);
@@ -152,7 +153,7 @@
   }
 }
 
-Test(engine_directory, keeps_an_engine_draining_whatever_comes_late) {
+Test(engine_directory, keeps_draining_despite_late_records) {
   EngineDirectory engines;
   EngineRecord record = engine("e", EngineStage::kDecode);
   record.draining = true;
@@ -162,19 +163,18 @@
   cr_assert(engines.find(EngineId("e"))->record.draining);
 }
 
-Test(prompt_cache, keeps_what_was_used_last) {
+Test(prompt_cache, evicts_the_least_recently_used_part) {
   PromptCacheView cache;
   const PromptShape old{{{1, 600}}, 600, 1};
   const PromptShape recent{{{2, 600}}, 600, 1};
-  cache.on_read(old.parts, 1000, kNow);
-  cache.on_read(recent.parts, 1000, kNow + 1s);
+  cache.on_prompt_read(old.parts, 1000, kNow);
+  cache.on_prompt_read(recent.parts, 1000, kNow + 1s);
   cr_assert_eq(cache.cached_tokens(old), 0);
   cr_assert_eq(cache.cached_tokens(recent), 600);
 }
 
-Test(stage_planner, counts_an_order_under_way_as_done) {
-  // Without it the planner ordered again before the first order showed, and back afterwards:
-  // quiet-1 at petalwire fell from 0.846 to 0.364.
+Test(stage_planner, counts_an_order_in_progress_as_done) {
+  // Guards against repeating an order before its effect shows, and reverting it afterwards.
   Fleet fleet;
   for (int i = 0; i < 5; ++i) {
     fleet.engines.upsert(engine("p" + std::to_string(i), EngineStage::kDecode));
@@ -192,7 +192,7 @@
   cr_assert_eq(orders, 2);
 }
 
-Test(stage_planner, leaves_engines_that_decode) {
+Test(stage_planner, keeps_the_minimum_of_decode_engines) {
   Fleet fleet;
   for (int i = 0; i < 5; ++i) {
     const auto stage = i < 2 ? EngineStage::kDecode : EngineStage::kPrefill;
--- a/tests/core/relay/retry_budget_test.cpp
+++ b/tests/core/relay/retry_budget_test.cpp
@@ -1,10 +1,5 @@
-// 66 nodes before a service whose load rose and fell by a factor of three every few seconds sent
-// 2,535 extra requests in ten seconds; 2,268 were allowed. Each node had kept to its share at every
-// moment: the ratio times its own requests of the last window, and its part of the slack. But the
-// bound takes the requests of one of three windows, and the windows between them held more; and
-// each node spent at its own best moment, so that the shares of all added up to more than any
-// window of the fleet had. Shown by this arithmetic, without engines, and by counting the sends in
-// the logs of all nodes on such days.
+// Guards against nodes that each keep to their share of the retry budget but together exceed the
+// fleet's bound, as under an oscillating load each spends at its own peak.
 #include "core/relay/retry_budget.hpp"
 
 #include <algorithm>
@@ -19,10 +14,10 @@
 
 namespace {
 
-/// What the fleet has done, in milliseconds from the beginning; in order of time.
+/// Sorted times of the fleet's requests and extra dispatches, in milliseconds from the start.
 struct FleetHistory {
   std::vector<int> requests;
-  std::vector<int> extras;
+  std::vector<int> extra_dispatches;
 };
 
 long count_within(const std::vector<int>& times, int begin, int end) {
@@ -31,8 +26,8 @@
   return last - first;
 }
 
-/// @return extra dispatches beyond the bound in the window from `begin`. The requests are those of
-/// the window, of the one before it or of the one half a window before it.
+/// @return extra dispatches beyond the bound in the window from `begin`. The requests are the most
+/// of that window, the one before it and the one half a window earlier.
 double excess_from(int begin, const FleetHistory& history, const RetryBudgetSettings& settings) {
   const int window = static_cast<int>(to_ms(settings.window));
   const auto requests_from = [&](int from) {
@@ -40,16 +35,16 @@
   };
   const long requests = std::max(
       {requests_from(begin), requests_from(begin - window), requests_from(begin - window / 2)});
-  const auto extras = static_cast<double>(count_within(history.extras, begin, begin + window));
-  return extras - settings.ratio * static_cast<double>(requests) - settings.slack;
+  const auto extra_dispatches =
+      static_cast<double>(count_within(history.extra_dispatches, begin, begin + window));
+  return extra_dispatches - settings.ratio * static_cast<double>(requests) - settings.slack;
 }
 
-/// @return the most that a window has beyond the bound; it is among those that begin or end with an
-/// extra dispatch.
+/// @return the largest excess of any window, which starts or ends with an extra dispatch.
 double worst_excess(const FleetHistory& history, const RetryBudgetSettings& settings) {
   const int window = static_cast<int>(to_ms(settings.window));
   double worst = -settings.slack;
-  for (const int time : history.extras) {
+  for (const int time : history.extra_dispatches) {
     worst = std::max(worst, excess_from(time, history, settings));
     worst = std::max(worst, excess_from(time - window + 1, history, settings));
   }
@@ -60,7 +55,7 @@
   return MonotonicTime{std::chrono::milliseconds(ms)};
 }
 
-RetryBudgetSettings incident_settings() {
+RetryBudgetSettings fleet_settings() {
   RetryBudgetSettings settings;
   settings.ratio = 0.2;
   settings.window = std::chrono::seconds(10);
@@ -68,87 +63,89 @@
   return settings;
 }
 
-/// Requests a second of the whole fleet: high and low by turns, 2.8 s each.
-double incident_load(int now_ms) {
+/// Requests per second of the whole fleet, alternating between high and low.
+double oscillating_load(int now_ms) {
   constexpr int kPhaseMs = 2800;
   return now_ms / kPhaseMs % 2 == 0 ? 1600 : 500;
 }
 
 }  // namespace
 
-Test(retry_budget, holds_over_the_fleet_while_the_load_rises_and_falls) {
+Test(retry_budget, bounds_the_fleet_under_oscillating_load) {
   constexpr int kNodes = 66;
   constexpr int kLengthMs = 34000;
-  const RetryBudgetSettings settings = incident_settings();
+  const RetryBudgetSettings settings = fleet_settings();
   const SlackShare share{settings.slack / kNodes, {}};
   std::vector<RetryBudget> budgets(kNodes, RetryBudget(settings, share));
   FleetHistory history;
-  double owed = 0;
+  double pending_requests = 0;
   for (int now_ms = 0; now_ms < kLengthMs; ++now_ms) {
-    for (owed += incident_load(now_ms) / 1000; owed >= 1; --owed) {
-      const auto lot = hash64("request", history.requests.size());
-      budgets[lot % kNodes].on_request(at_ms(now_ms));
+    for (pending_requests += oscillating_load(now_ms) / 1000; pending_requests >= 1;
+         --pending_requests) {
+      const auto node_hash = hash64("request", history.requests.size());
+      budgets[node_hash % kNodes].on_request(at_ms(now_ms));
       history.requests.push_back(now_ms);
     }
-    // Engines refuse throughout: each node spends what it may as soon as it may.
+    // Engines refuse everything: each node spends its budget at once.
     for (RetryBudget& budget : budgets) {
-      while (budget.try_spend(at_ms(now_ms))) history.extras.push_back(now_ms);
+      while (budget.try_spend(at_ms(now_ms))) history.extra_dispatches.push_back(now_ms);
     }
   }
   const double excess = worst_excess(history, settings);
   cr_assert_leq(excess, 0.0, "%.0f extra dispatches too many in one window", excess);
 }
 
-Test(retry_budget, holds_over_all_nodes_in_every_window) {
-  SHUNTBANK_PROPERTY("however requests come and nodes spend and start again", [] {
+Test(retry_budget, bounds_all_nodes_in_every_window) {
+  SHUNTBANK_PROPERTY("bound holds for any sequence of requests, dispatches and restarts", [] {
     RetryBudgetSettings settings;
     settings.slack = 54;
     const auto nodes = *rc::gen::inRange<std::size_t>(1, 9);
-    const double each = settings.slack / static_cast<double>(nodes);
-    std::vector<RetryBudget> budgets(nodes, RetryBudget(settings, SlackShare{each, {}}));
+    const double share = settings.slack / static_cast<double>(nodes);
+    std::vector<RetryBudget> budgets(nodes, RetryBudget(settings, SlackShare{share, {}}));
     FleetHistory history;
     int now_ms = 0;
     for (int i = 0; i < 400; ++i) {
       now_ms += *rc::gen::inRange(0, 300);
       RetryBudget& budget = budgets[*rc::gen::inRange<std::size_t>(0, nodes)];
       const MonotonicTime now = at_ms(now_ms);
-      const int what = *rc::gen::inRange(0, 40);
-      if (what == 0) {
-        // The process starts again.
-        budget = RetryBudget(settings, {each, now + counted_for(settings)});
-      } else if (what < 12) {
+      const int action = *rc::gen::inRange(0, 40);
+      if (action == 0) {
+        // The process restarts.
+        budget = RetryBudget(settings, {share, now + charge_duration(settings)});
+      } else if (action < 12) {
         const int burst = *rc::gen::inRange(1, 30);
         for (int request = 0; request < burst; ++request) budget.on_request(now);
         history.requests.insert(history.requests.end(), static_cast<std::size_t>(burst), now_ms);
       } else {
-        while (budget.try_spend(now)) history.extras.push_back(now_ms);
+        while (budget.try_spend(now)) history.extra_dispatches.push_back(now_ms);
       }
     }
     RC_ASSERT(worst_excess(history, settings) <= 0);
   });
 }
 
-Test(retry_budget, lets_a_steady_load_spend_the_whole_ratio) {
-  // The bound must not cost what it need not: in a steady load all of it can be spent.
+Test(retry_budget, allows_a_steady_load_to_spend_the_whole_ratio) {
+  // Guards against a budget stricter than the bound.
   RetryBudgetSettings settings;
   settings.slack = 0;
   RetryBudget budget(settings, {});
   int spent = 0;
-  constexpr int kRequestsASecond = 100;
+  constexpr int kRequestsPerSecond = 100;
   for (int second = 0; second < 60; ++second) {
-    for (int i = 0; i < kRequestsASecond; ++i) {
+    for (int i = 0; i < kRequestsPerSecond; ++i) {
       const MonotonicTime now = at_ms(second * 1000 + i * 10);
       budget.on_request(now);
       if (budget.try_spend(now) && second >= 30) ++spent;
     }
   }
-  // Dispatches count for a tenth of a window longer than requests do, and slots round down.
-  constexpr double kWhole = 30 * kRequestsASecond * 0.2;
-  cr_assert_geq(spent, kWhole * 0.85, "%d of %.0f", spent, kWhole);
+  // Dispatches are charged for a tenth of a window longer than requests count, and slots round
+  // down.
+  constexpr double kFullRatio = 30 * kRequestsPerSecond * 0.2;
+  cr_assert_geq(spent, kFullRatio * 0.85, "%d of %.0f", spent, kFullRatio);
 }
 
-Test(retry_budget, lets_one_failure_repeat_what_was_under_way) {
-  // An engine that crashes fails all that it had at once: half of a window's ratio is at hand.
+Test(retry_budget, allows_retrying_in_flight_requests_after_a_crash) {
+  // A crash fails all requests of an engine at once: half of a window's ratio is available.
   RetryBudgetSettings settings;
   settings.slack = 0;
   RetryBudget budget(settings, {});
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -14,28 +14,28 @@
 
 std::unique_ptr<Timer> ManualRuntime::after(Duration delay, std::function<void()> function) {
   auto alive = std::make_shared<bool>(true);
-  due_.emplace(now_ + delay, Entry{std::move(function), alive});
+  timers_.emplace(now_ + delay, Entry{std::move(function), alive});
   return std::make_unique<ManualTimer>(std::move(alive));
 }
 
 void ManualRuntime::post(std::function<void()> function) {
-  due_.emplace(now_, Entry{std::move(function), always_});
+  timers_.emplace(now_, Entry{std::move(function), never_cancelled_});
 }
 
 std::string ManualRuntime::random_hex(std::size_t bytes) {
   const std::string digits = "0123456789abcdef";
   std::string text;
-  for (std::size_t i = 0; i < bytes * 2; ++i) text += digits[(++drawn_ * 7 + i) % digits.size()];
+  for (std::size_t i = 0; i < bytes * 2; ++i) text += digits[(++draws_ * 7 + i) % digits.size()];
   return text;
 }
 
 void ManualRuntime::advance(Duration duration) {
   const MonotonicTime until = now_ + duration;
-  while (!due_.empty() && due_.begin()->first <= until) {
-    const auto first = due_.begin();
+  while (!timers_.empty() && timers_.begin()->first <= until) {
+    const auto first = timers_.begin();
     now_ = std::max(now_, first->first);
     const Entry entry = std::move(first->second);
-    due_.erase(first);
+    timers_.erase(first);
     const auto alive = entry.alive.lock();
     if (alive) entry.function();
   }
@@ -95,17 +95,17 @@
 }
 
 void RecordingResponder::respond(HttpReply reply) {
-  seen_->status = reply.status;
-  seen_->headers = reply.headers;
-  seen_->body = reply.body;
-  seen_->finished = true;
-  ++seen_->heads;
+  reply_->status = reply.status;
+  reply_->headers = reply.headers;
+  reply_->body = reply.body;
+  reply_->finished = true;
+  ++reply_->head_count;
 }
 
 void RecordingResponder::begin_stream(int status, const HttpHeaders& headers) {
-  seen_->status = status;
-  seen_->headers = headers;
-  ++seen_->heads;
+  reply_->status = status;
+  reply_->headers = headers;
+  ++reply_->head_count;
 }
 
 TestDialect::TestDialect() {
@@ -121,11 +121,11 @@
   names_.fetch_from = "fetch";
   names_.tenant_key = "key";
   names_.tenant = "tenant";
-  names_.from_callers_removed = {"for-engine", "urgency", "stage", "source",
-                                 "fetch",      "key",     "tenant"};
+  names_.stripped_from_requests = {"for-engine", "urgency", "stage", "source",
+                                   "fetch",      "key",     "tenant"};
 }
 
-std::optional<relay::PromptShape> TestDialect::prompt(const HttpHeaders& headers) const {
+std::optional<relay::PromptShape> TestDialect::parse_prompt(const HttpHeaders& headers) const {
   if (headers.get("tokens").empty()) return std::nullopt;
   relay::PromptShape shape;
   shape.prompt_tokens = std::stoull(std::string(headers.get("tokens")));
@@ -133,46 +133,47 @@
   return shape;
 }
 
-relay::ReadNotice TestDialect::notice(int status, const HttpHeaders& headers) const {
-  relay::ReadNotice read;
-  read.notice.leaving = headers.count("leaving") > 0;
+relay::ParsedNotice TestDialect::parse_notice(int status, const HttpHeaders& headers) const {
+  relay::ParsedNotice read;
+  read.notice.draining = headers.count("leaving") > 0;
   const std::string rest(headers.get("rest-seconds"));
   const std::string limit(headers.get("limit"));
-  read.notice.names_limit = !limit.empty();
+  read.notice.has_limit = !limit.empty();
   if (!limit.empty()) read.notice.limit = std::stod(limit);
-  if (status == 503 && !rest.empty()) read.notice.rest = std::chrono::seconds(std::stoll(rest));
+  if (status == 503 && !rest.empty()) read.notice.cooldown = std::chrono::seconds(std::stoll(rest));
   return read;
 }
 
-tl::expected<relay::PromptHandle, std::string> TestDialect::prefill_answer(
+tl::expected<relay::PromptHandle, std::string> TestDialect::parse_prefill_answer(
     const std::string& body) const {
   if (body.empty()) return tl::make_unexpected(std::string("empty"));
   return relay::PromptHandle{body, 0};
 }
 
-OutgoingRequest TestDialect::release_handle(const std::string& address,
-                                            const std::string& handle) const {
+OutgoingRequest TestDialect::release_handle_request(const std::string& address,
+                                                    const std::string& handle) const {
   OutgoingRequest call;
   call.method = "DELETE";
   call.url = "http://" + address + "/handle/" + handle;
   return call;
 }
 
-OutgoingRequest TestDialect::ask_report(const std::string& address, const std::string&) const {
+OutgoingRequest TestDialect::report_request(const std::string& address, const std::string&) const {
   OutgoingRequest call;
   call.url = "http://" + address + "/report";
   return call;
 }
 
-tl::expected<relay::EngineReport, std::string> TestDialect::report(const std::string& body) const {
+tl::expected<relay::EngineReport, std::string> TestDialect::parse_report(
+    const std::string& body) const {
   if (body != "decode" && body != "prefill") return tl::make_unexpected(std::string("unknown"));
   relay::EngineReport report;
   report.stage = body == "decode" ? relay::EngineStage::kDecode : relay::EngineStage::kPrefill;
-  report.orders_taken = 4;
+  report.orders_accepted = 4;
   return report;
 }
 
-OutgoingRequest TestDialect::stage_order(const relay::StageOrder& order) const {
+OutgoingRequest TestDialect::stage_order_request(const relay::StageOrder& order) const {
   OutgoingRequest call;
   call.method = "POST";
   call.url = "http://" + order.address + "/order";
@@ -183,7 +184,7 @@
   return call;
 }
 
-std::uint64_t MemoryStore::known(store::Freshness freshness) const {
+std::uint64_t MemoryStore::visible_revision(store::Freshness freshness) const {
   const bool lags = freshness == store::Freshness::kMayLag;
   return lags ? std::min(revision_, replica_revision) : revision_;
 }
@@ -198,9 +199,9 @@
     return call;
   }
   store::ObjectList list;
-  list.revision = known(freshness);
+  list.revision = visible_revision(freshness);
   std::map<std::string, store::StoredObject> objects;
-  for (const Change& change : all_) {
+  for (const Change& change : full_history_) {
     if (change.kind != kind || change.revision > list.revision) continue;
     objects[change.change.object.name] = change.change.object;
     if (change.change.gone) objects.erase(change.change.object.name);
@@ -211,18 +212,18 @@
 }
 
 std::size_t MemoryStore::received(store::CallId call) const {
-  return link == nullptr ? 0 : link->carried(call);
+  return link == nullptr ? 0 : link->transferred(call);
 }
 
 void MemoryStore::cancel(store::CallId call) {
-  if (link != nullptr) link->drop(call);
-  std::erase_if(waiting_, [call](const Waiting& waiting) { return waiting.call == call; });
+  if (link != nullptr) link->cancel(call);
+  std::erase_if(pending_watches_, [call](const PendingWatch& watch) { return watch.call == call; });
 }
 
 store::ChangeBatch MemoryStore::changes_after(const std::string& kind, std::uint64_t revision,
                                               store::Freshness freshness) const {
   store::ChangeBatch batch;
-  batch.revision = known(freshness);
+  batch.revision = visible_revision(freshness);
   for (const Change& change : history_) {
     if (change.kind != kind || change.revision <= revision) continue;
     if (change.revision <= batch.revision) batch.changes.push_back(change.change);
@@ -236,7 +237,7 @@
   const store::CallId call = ++last_call_;
   ++watches;
   if (freshness == store::Freshness::kLatest) ++latest_calls;
-  if (down || revision < oldest_) {
+  if (down || revision < oldest_revision_) {
     reply<store::ChangeBatch>(
         std::move(handler),
         tl::make_unexpected(down ? store::StoreError::kNotDone : store::StoreError::kHistoryGone));
@@ -254,21 +255,20 @@
         const auto later = changes_after(kind, revision, freshness);
         send<store::ChangeBatch>(call, later.changes.size(), timeout, handler, later);
       });
-  waiting_.push_back(
+  pending_watches_.push_back(
       {call, kind, revision, freshness, timeout, std::move(handler), open, std::move(timer)});
   return call;
 }
 
-void MemoryStore::wake() {
-  if (deaf) return;
-  for (Waiting& waiting : waiting_) {
-    const auto batch = changes_after(waiting.kind, waiting.revision, waiting.freshness);
-    if (!*waiting.open || batch.changes.empty()) continue;
-    *waiting.open = false;
-    send<store::ChangeBatch>(waiting.call, batch.changes.size(), waiting.timeout, waiting.handler,
-                             batch);
+void MemoryStore::notify_watches() {
+  if (drop_notifications) return;
+  for (PendingWatch& watch : pending_watches_) {
+    const auto batch = changes_after(watch.kind, watch.revision, watch.freshness);
+    if (!*watch.open || batch.changes.empty()) continue;
+    *watch.open = false;
+    send<store::ChangeBatch>(watch.call, batch.changes.size(), watch.timeout, watch.handler, batch);
   }
-  std::erase_if(waiting_, [](const Waiting& waiting) { return !*waiting.open; });
+  std::erase_if(pending_watches_, [](const PendingWatch& watch) { return !*watch.open; });
 }
 
 void MemoryStore::put(const std::string& kind, const std::string& name,
@@ -276,28 +276,27 @@
   store::StoredObject object{name, ++revision_, content};
   kinds_[kind][name] = object;
   history_.push_back({kind, {object, false}, revision_});
-  all_.push_back(history_.back());
-  wake();
+  full_history_.push_back(history_.back());
+  notify_watches();
 }
 
 void MemoryStore::remove(const std::string& kind, const std::string& name) {
   const store::StoredObject object = kinds_[kind][name];
   kinds_[kind].erase(name);
   history_.push_back({kind, {object, true}, ++revision_});
-  all_.push_back(history_.back());
-  wake();
+  full_history_.push_back(history_.back());
+  notify_watches();
 }
 
 void MemoryStore::forget_history() {
   history_.clear();
-  oldest_ = ++revision_;
-  for (Waiting& waiting : waiting_) {
-    if (std::exchange(*waiting.open, false)) {
-      reply<store::ChangeBatch>(waiting.handler,
-                                tl::make_unexpected(store::StoreError::kUncertain));
+  oldest_revision_ = ++revision_;
+  for (PendingWatch& watch : pending_watches_) {
+    if (std::exchange(*watch.open, false)) {
+      reply<store::ChangeBatch>(watch.handler, tl::make_unexpected(store::StoreError::kUncertain));
     }
   }
-  waiting_.clear();
+  pending_watches_.clear();
 }
 
 void MemoryStore::read(const std::string& kind, const std::string& name, Duration,
@@ -359,23 +358,23 @@
   using namespace std::chrono_literals;
   relay::RouteConfiguration configuration;
   configuration.version = version;
-  const auto route = [&](const std::string& name, const std::string& service, relay::RouteKind kind,
-                         std::uint32_t attempts, bool resumable) {
-    relay::Route made;
-    made.name = name;
-    made.host = "site";
-    made.path_prefix = "/" + name + "/";
-    made.kind = kind;
-    made.split = {{ServiceName(service), 1}};
-    made.max_attempts = attempts;
-    made.timeout = 3s;
-    made.resumable = resumable;
-    configuration.routes.push_back(made);
+  const auto add_route = [&](const std::string& name, const std::string& service,
+                             relay::RouteKind kind, std::uint32_t attempts, bool resumable) {
+    relay::Route route;
+    route.name = name;
+    route.host = "site";
+    route.path_prefix = "/" + name + "/";
+    route.kind = kind;
+    route.split = {{ServiceName(service), 1}};
+    route.max_attempts = attempts;
+    route.timeout = 3s;
+    route.resumable = resumable;
+    configuration.routes.push_back(route);
   };
-  route("safe", "plain", relay::RouteKind::kSafe, 2, false);
-  route("once", "plain", relay::RouteKind::kUnsafe, 1, false);
-  route("stream", "model", relay::RouteKind::kStream, 1, false);
-  route("resumable", "model", relay::RouteKind::kStream, 2, true);
+  add_route("safe", "plain", relay::RouteKind::kSafe, 2, false);
+  add_route("once", "plain", relay::RouteKind::kUnsafe, 1, false);
+  add_route("stream", "model", relay::RouteKind::kStream, 1, false);
+  add_route("resumable", "model", relay::RouteKind::kStream, 2, true);
   relay::ModelServing model;
   model.kv_tokens = 100000;
   model.kv_token_bytes = 1000;
@@ -385,13 +384,13 @@
   return configuration;
 }
 
-void RelayFixture::start_anew() {
+void RelayFixture::restart() {
   node = std::make_unique<relay::RelayNode>(relay::RelayIo{runtime, http, dialect}, settings);
   node->adopt(configuration(1));
   node->set_engines({});
 }
 
-bool RelayFixture::sends_again() {
+bool RelayFixture::sends_retry() {
   for (const char* id : {"a", "b"}) add_engine(id, "plain");
   const std::size_t first = http.count();
   request("/safe/a");
@@ -403,9 +402,9 @@
   settings.node = "n1";
   settings.zone = ZoneName("z1");
   settings.retry_budget.slack = 80;
-  start_anew();
+  restart();
   node->set_fleet({7, 0});
-  runtime.advance(relay::counted_for(settings.retry_budget));
+  runtime.advance(relay::charge_duration(settings.retry_budget));
 }
 
 void RelayFixture::add_engine(const std::string& id, const std::string& service,
@@ -421,13 +420,14 @@
   node->set_engine(record);
 }
 
-HttpHeaders RelayFixture::sealed(const std::string& id) {
+HttpHeaders RelayFixture::sealed_headers(const std::string& id) {
   return {{"id", id}, {"seal", "s"}};
 }
 
-std::shared_ptr<SeenReply> RelayFixture::request(const std::string& path, const HttpHeaders& more,
-                                                 const std::string& method,
-                                                 const std::string& body) {
+std::shared_ptr<RecordedReply> RelayFixture::request(const std::string& path,
+                                                     const HttpHeaders& more,
+                                                     const std::string& method,
+                                                     const std::string& body) {
   HttpRequest request;
   request.method = method;
   request.target = path;
@@ -437,10 +437,10 @@
   for (const HttpHeader& field : more.fields()) request.headers.add(field.name, field.value);
   request.body = body;
   request.caller = caller_address;
-  auto seen = std::make_shared<SeenReply>();
-  caller = std::make_shared<RecordingResponder>(seen);
+  auto reply = std::make_shared<RecordedReply>();
+  caller = std::make_shared<RecordingResponder>(reply);
   node->handle(std::move(request), caller);
-  return seen;
+  return reply;
 }
 
 }  // namespace shuntbank::testing
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a relay node runs on in tests: a clock that is moved by hand, an HTTP client whose answers
-/// the test gives, a caller that records, and a small dialect of its own.
+/// Fakes for tests of a relay node: a manual clock, a scripted HTTP client, a recording responder,
+/// an in-memory store and a small dialect.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
 
 namespace shuntbank::testing {
 
-/// Time that passes only when the test says so.
+/// Runtime whose time advances only on request.
 class ManualRuntime : public Runtime {
  public:
   MonotonicTime now() const override { return now_; }
@@ -32,11 +32,11 @@
   void post(std::function<void()> function) override;
   std::string random_hex(std::size_t bytes) override;
 
-  /// Lets time pass and calls what is due, in order.
+  /// Advances the time and runs due timers in order.
   void advance(Duration duration);
 
-  /// Lets time pass without calling anything, as for a process that stands still.
-  void stand_still(Duration duration) { now_ += duration; }
+  /// Advances the time without running timers, as if the process stalled.
+  void stall(Duration duration) { now_ += duration; }
 
  private:
   struct Entry {
@@ -46,12 +46,12 @@
   class ManualTimer;
 
   MonotonicTime now_{std::chrono::seconds(1000)};
-  std::multimap<MonotonicTime, Entry> due_;
-  std::shared_ptr<bool> always_ = std::make_shared<bool>(true);
-  std::uint64_t drawn_ = 0;
+  std::multimap<MonotonicTime, Entry> timers_;
+  std::shared_ptr<bool> never_cancelled_ = std::make_shared<bool>(true);
+  std::uint64_t draws_ = 0;
 };
 
-/// One request that the node has sent.
+/// A request that the node has sent.
 struct SentRequest {
   TransferId id = 0;
   OutgoingRequest request;
@@ -60,21 +60,21 @@
   bool done = false;
 };
 
-/// Records what is sent; the test answers.
+/// Records requests; the test gives the answers.
 class ScriptedHttpClient : public HttpClient {
  public:
   TransferId start(OutgoingRequest request, TransferHandlers handlers) override;
   void cancel(TransferId id) override;
   void resume(TransferId) override {}
 
-  /// Answers whole.
+  /// Sends a complete answer.
   void answer(std::size_t index, int status, const HttpHeaders& headers, const std::string& body);
-  /// Begins an answer and sends a piece; the rest follows by `piece`, `finish` or `fail`.
+  /// Begins an answer, to be continued by `piece`, `finish` or `fail`.
   void begin(std::size_t index, int status, const HttpHeaders& headers);
   void piece(std::size_t index, const std::string& bytes);
   void finish(std::size_t index);
   void fail(std::size_t index, TransferFailure failure);
-  /// Nobody listens at the address any more.
+  /// Fails the transfer with a refused connection.
   void refuse_connection(std::size_t index);
 
   SentRequest& at(std::size_t index) { return *sent.at(index); }
@@ -83,67 +83,70 @@
   std::vector<std::shared_ptr<SentRequest>> sent;
 };
 
-/// What a caller has seen.
-struct SeenReply {
+/// The reply that a caller has received.
+struct RecordedReply {
   int status = 0;
   HttpHeaders headers;
   std::string body;
   bool finished = false;
   bool aborted = false;
-  int heads = 0;
+  int head_count = 0;
 };
 
-/// Records a reply. The caller can go away.
+/// Records a reply. The caller can disconnect.
 class RecordingResponder : public ConnectionResponder {
  public:
-  explicit RecordingResponder(std::shared_ptr<SeenReply> seen) : seen_(std::move(seen)) {}
+  explicit RecordingResponder(std::shared_ptr<RecordedReply> reply) : reply_(std::move(reply)) {}
   void respond(HttpReply reply) override;
   void begin_stream(int status, const HttpHeaders& headers) override;
-  void write(std::string_view piece) override { seen_->body += piece; }
+  void write(std::string_view piece) override { reply_->body += piece; }
   std::size_t pending_bytes() const override { return 0; }
   void on_drained(std::function<void()>) override {}
-  void finish() override { seen_->finished = true; }
-  void on_closed(std::function<void()> handler) override { closed_ = std::move(handler); }
-  void abort() override { seen_->aborted = true; }
+  void finish() override { reply_->finished = true; }
+  void on_closed(std::function<void()> handler) override { closed_handler_ = std::move(handler); }
+  void abort() override { reply_->aborted = true; }
 
-  void caller_leaves() {
-    const auto handler = std::exchange(closed_, nullptr);
+  void disconnect() {
+    const auto handler = std::exchange(closed_handler_, nullptr);
     if (handler) handler();
   }
 
  private:
-  std::shared_ptr<SeenReply> seen_;
-  std::function<void()> closed_;
+  std::shared_ptr<RecordedReply> reply_;
+  std::function<void()> closed_handler_;
 };
 
-/// Header names and formats of the tests' own.
+/// Dialect with test-only header names and formats.
 class TestDialect : public relay::EngineDialect {
  public:
   TestDialect();
   const relay::HeaderNames& names() const override { return names_; }
-  std::optional<relay::PromptShape> prompt(const HttpHeaders& headers) const override;
-  std::optional<relay::ReportedLoad> load(const HttpHeaders&) const override { return {}; }
-  relay::ReadNotice notice(int status, const HttpHeaders& headers) const override;
-  bool refused(int, const HttpHeaders& headers) const override {
+  std::optional<relay::PromptShape> parse_prompt(const HttpHeaders& headers) const override;
+  std::optional<relay::ReportedLoad> parse_load(const HttpHeaders&) const override { return {}; }
+  relay::ParsedNotice parse_notice(int status, const HttpHeaders& headers) const override;
+  bool is_refusal(int, const HttpHeaders& headers) const override {
     return headers.count("refused") > 0;
   }
-  std::string prefill_stage() const override { return "read"; }
-  std::string prompt_source(const std::string& address, const std::string& handle) const override {
+  std::string prefill_stage_value() const override { return "read"; }
+  std::string prompt_source_value(const std::string& address,
+                                  const std::string& handle) const override {
     return address + "/" + handle;
   }
-  tl::expected<relay::PromptHandle, std::string> prefill_answer(
+  tl::expected<relay::PromptHandle, std::string> parse_prefill_answer(
       const std::string& body) const override;
-  OutgoingRequest release_handle(const std::string& address,
-                                 const std::string& handle) const override;
-  OutgoingRequest ask_report(const std::string& address, const std::string& engine) const override;
-  tl::expected<relay::EngineReport, std::string> report(const std::string& body) const override;
-  OutgoingRequest stage_order(const relay::StageOrder& order) const override;
+  OutgoingRequest release_handle_request(const std::string& address,
+                                         const std::string& handle) const override;
+  OutgoingRequest report_request(const std::string& address,
+                                 const std::string& engine) const override;
+  tl::expected<relay::EngineReport, std::string> parse_report(
+      const std::string& body) const override;
+  OutgoingRequest stage_order_request(const relay::StageOrder& order) const override;
 
  private:
   relay::HeaderNames names_;
 };
 
-/// A store in memory, whose answers the test can hold back or lose.
+/// An in-memory store that can fail, lose answers, lag or answer slowly.
 class MemoryStore : public store::ObjectStore {
  public:
   explicit MemoryStore(Runtime& runtime) : runtime_(runtime) {}
@@ -163,26 +166,26 @@
                const nlohmann::json& content, Duration timeout,
                store::StoreHandler<store::StoredObject> handler) override;
 
-  /// The operator or an engine writes.
+  /// Writes as the operator or an engine.
   void put(const std::string& kind, const std::string& name, const nlohmann::json& content);
   void remove(const std::string& kind, const std::string& name);
   /// @return the revision of the last change.
   std::uint64_t revision() const { return revision_; }
-  /// Drops the history: watches from before get `kHistoryGone`.
+  /// Drops the history: watches from earlier revisions fail with `kHistoryGone`.
   void forget_history();
 
-  bool down = false;          ///< Calls fail with `kNotDone`.
-  bool lose_answers = false;  ///< Writes are done and not answered.
-  bool deaf = false;          ///< Watches under way do not hear of changes.
-  /// Answers that may lag know nothing newer than this revision.
+  bool down = false;                ///< Calls fail with `kNotDone`.
+  bool lose_answers = false;        ///< Writes take effect but fail with `kUncertain`.
+  bool drop_notifications = false;  ///< Open watches miss changes.
+  /// Newest revision in answers that may lag.
   std::uint64_t replica_revision = std::numeric_limits<std::uint64_t>::max();
-  /// What lists and watches are answered over; null: answers take no time.
+  /// Carries the answers to lists and watches; null: answers take no time.
   SlowLink* link = nullptr;
   std::size_t object_bytes = 0;  ///< Of each object in an answer.
-  Duration answer_delay{};       ///< Until an answer over the link begins.
+  Duration answer_delay{};       ///< Before an answer over the link begins.
   int lists = 0;
   int watches = 0;
-  int latest_calls = 0;  ///< Of the lists and watches: those that may not lag.
+  int latest_calls = 0;  ///< Lists and watches that may not lag.
   int writes = 0;
 
  private:
@@ -191,7 +194,7 @@
     store::ObjectChange change;
     std::uint64_t revision;
   };
-  struct Waiting {
+  struct PendingWatch {
     store::CallId call;
     std::string kind;
     std::uint64_t revision;
@@ -201,26 +204,28 @@
     std::shared_ptr<bool> open;
     std::shared_ptr<Timer> timer;
   };
-  std::uint64_t known(store::Freshness freshness) const;
+  std::uint64_t visible_revision(store::Freshness freshness) const;
   store::ChangeBatch changes_after(const std::string& kind, std::uint64_t revision,
                                    store::Freshness freshness) const;
-  void wake();
-  /// Answers a list or a watch, over the link where there is one.
+  void notify_watches();
+  /// Answers a list or a watch, over the link if there is one.
   template <typename Value>
   void send(store::CallId call, std::size_t objects, Duration timeout,
             store::StoreHandler<Value> handler, tl::expected<Value, store::StoreError> value) {
     if (link == nullptr) return reply<Value>(std::move(handler), std::move(value));
     if (answer_delay >= timeout) {
       const auto late = tl::make_unexpected(store::StoreError::kUncertain);
-      link->carry(call, 0, timeout, [handler = std::move(handler), late] { handler(late); });
+      link->start_transfer(call, 0, timeout,
+                           [handler = std::move(handler), late] { handler(late); });
       return;
     }
     const MonotonicTime begun = runtime_.now() + answer_delay;
-    link->carry(call, objects * object_bytes, answer_delay,
-                [this, begun, handler = std::move(handler), value = std::move(value)]() mutable {
-                  if (value) value->transfer = runtime_.now() - begun;
-                  handler(std::move(value));
-                });
+    link->start_transfer(
+        call, objects * object_bytes, answer_delay,
+        [this, begun, handler = std::move(handler), value = std::move(value)]() mutable {
+          if (value) value->transfer = runtime_.now() - begun;
+          handler(std::move(value));
+        });
   }
   template <typename Value>
   void reply(store::StoreHandler<Value> handler, tl::expected<Value, store::StoreError> value) {
@@ -230,14 +235,14 @@
   Runtime& runtime_;
   std::map<std::string, std::map<std::string, store::StoredObject>> kinds_;
   std::vector<Change> history_;
-  std::vector<Change> all_;  ///< With what the store has forgotten.
-  std::vector<Waiting> waiting_;
+  std::vector<Change> full_history_;  ///< Including changes dropped from `history_`.
+  std::vector<PendingWatch> pending_watches_;
   std::uint64_t revision_ = 1;
-  std::uint64_t oldest_ = 0;
+  std::uint64_t oldest_revision_ = 0;
   store::CallId last_call_ = 0;
 };
 
-/// Objects as the tests' store holds them.
+/// Codec for the objects of `MemoryStore`.
 class TestCodec : public relay::CatalogCodec {
  public:
   std::string configuration_kind() const override { return "routes"; }
@@ -249,28 +254,28 @@
       const store::StoredObject& object) const override;
 };
 
-/// A relay node with two services, `plain` and `model`, and what it runs on.
+/// A relay node with two services, `plain` and `model`, and its fakes.
 class RelayFixture {
  public:
   RelayFixture();
 
-  /// Takes the place of the node with one that has just started and knows no other.
-  void start_anew();
+  /// Replaces the node by a freshly started one that knows no other nodes.
+  void restart();
 
-  /// @return whether a request whose first engine fails goes on at another.
-  bool sends_again();
+  /// @return whether a request whose first engine fails is sent to another.
+  bool sends_retry();
 
-  /// Sends a request of a caller.
-  std::shared_ptr<SeenReply> request(const std::string& path, const HttpHeaders& more = {},
-                                     const std::string& method = "POST",
-                                     const std::string& body = "body");
+  /// Sends a caller's request.
+  std::shared_ptr<RecordedReply> request(const std::string& path, const HttpHeaders& more = {},
+                                         const std::string& method = "POST",
+                                         const std::string& body = "body");
 
   /// Registers an engine of a service.
   void add_engine(const std::string& id, const std::string& service,
                   relay::EngineStage stage = relay::EngineStage::kNone, bool draining = false);
 
-  /// @return header fields of an answer by the engine to the request `id`.
-  static HttpHeaders sealed(const std::string& id = "r1");
+  /// @return headers of a valid engine answer to the request `id`.
+  static HttpHeaders sealed_headers(const std::string& id = "r1");
 
   static relay::RouteConfiguration configuration(std::uint64_t version);
 
