--- a/tests/platform/soak/soak.cpp
+++ b/tests/platform/soak/soak.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 namespace options = boost::program_options;
-using shuntbank::testing::BrokenPromise;
 using shuntbank::testing::CallerCounts;
-using shuntbank::testing::SoakShape;
+using shuntbank::testing::SoakOptions;
 using shuntbank::testing::SoakSite;
+using shuntbank::testing::Violation;
 
 struct SeedRange {
   std::uint64_t first = 1;
@@ -32,68 +32,68 @@
 }
 
 /// @return whether every promise was kept.
-bool play(SoakShape shape) {
-  shape.folder += "/seed-" + std::to_string(shape.seed);
-  std::filesystem::create_directories(shape.folder);
-  SoakSite site(shape);
+bool run_seed(SoakOptions soak_options) {
+  soak_options.folder += "/seed-" + std::to_string(soak_options.seed);
+  std::filesystem::create_directories(soak_options.folder);
+  SoakSite site(soak_options);
   site.run();
   const CallerCounts& counts = site.counts();
-  std::cout << "seed " << shape.seed << ": " << site.faults().size() << " faults, " << counts.whole
-            << " whole, " << counts.refused << " refused, " << counts.failed << " failed, "
-            << counts.left << " left early, " << site.result().most_of_limits()
-            << " of a limit at most, " << site.result().broken().size() << " promises broken"
-            << std::endl;
-  for (const BrokenPromise& promise : site.result().broken()) {
-    std::cout << "  " << promise.rule << ": " << promise.what << std::endl;
+  std::cout << "seed " << soak_options.seed << ": " << site.faults().size() << " faults, "
+            << counts.completed << " whole, " << counts.refused << " refused, " << counts.failed
+            << " failed, " << counts.cancelled << " left early, "
+            << site.result().max_limit_utilization() << " of a limit at most, "
+            << site.result().violations().size() << " promises broken" << std::endl;
+  for (const Violation& violation : site.result().violations()) {
+    std::cout << "  " << violation.rule << ": " << violation.what << std::endl;
   }
-  if (site.result().broken().empty()) return true;
+  if (site.result().violations().empty()) return true;
   for (const std::string& fault : site.faults()) std::cout << "    fault: " << fault << "\n";
-  std::cout << "  logs: " << shape.folder << std::endl;
+  std::cout << "  logs: " << soak_options.folder << std::endl;
   return false;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  SoakShape shape;
+  SoakOptions soak_options;
   std::string seeds;
   std::int64_t seconds = 0;
-  options::options_description known("Options");
-  known.add_options()("help", "print this")("program", options::value(&shape.program)->required(),
-                                            "the relay's program")(
-      "folder", options::value(&shape.folder)->required(), "for settings and logs")(
+  options::options_description description("Options");
+  description.add_options()("help", "print this")(
+      "program", options::value(&soak_options.program)->required(), "the relay's program")(
+      "folder", options::value(&soak_options.folder)->required(), "for settings and logs")(
       "seeds", options::value(&seeds)->default_value("1"), "one seed, or FIRST..LAST")(
       "seconds", options::value(&seconds)->default_value(30), "of faults, for each seed")(
-      "deadly", options::bool_switch(&shape.deadly),
+      "deadly", options::bool_switch(&soak_options.crashing_requests),
       "a request comes again and again that ends each engine that runs it")(
-      "storms", options::bool_switch(&shape.storms),
+      "storms", options::bool_switch(&soak_options.storms),
       "large configurations in quick succession, over slow links to the store")(
-      "words", options::bool_switch(&shape.words),
+      "words", options::bool_switch(&soak_options.engine_notices),
       "engines leave while the store is silent, turn all away by halves, and lose their entries")(
-      "limits", options::bool_switch(&shape.limits),
+      "limits", options::bool_switch(&soak_options.engine_limits),
       "engines name how many requests a second they take from all nodes together")(
-      "other-program", options::value(&shape.other_program),
+      "other-program", options::value(&soak_options.previous_program),
       "of an earlier version, for which nodes are replaced one after the other, and back")(
-      "relays", options::value(&shape.relays)->default_value(5), "processes");
-  options::variables_map given;
+      "relays", options::value(&soak_options.relay_count)->default_value(5), "processes");
+  options::variables_map variables;
   try {
-    options::store(options::parse_command_line(argc, argv, known), given);
-    if (given.count("help") > 0) {
-      std::cout << known;
+    options::store(options::parse_command_line(argc, argv, description), variables);
+    if (variables.count("help") > 0) {
+      std::cout << description;
       return 0;
     }
-    options::notify(given);
+    options::notify(variables);
   } catch (const options::error& error) {
-    std::cerr << error.what() << "\n" << known;
+    std::cerr << error.what() << "\n" << description;
     return 2;
   }
-  shape.faults_for = std::chrono::seconds(seconds);
+  soak_options.fault_duration = std::chrono::seconds(seconds);
   const SeedRange range = parse_seeds(seeds);
-  int broken = 0;
-  for (shape.seed = range.first; shape.seed <= range.last; ++shape.seed) {
-    if (!play(shape)) ++broken;
+  int failed_seeds = 0;
+  for (soak_options.seed = range.first; soak_options.seed <= range.last; ++soak_options.seed) {
+    if (!run_seed(soak_options)) ++failed_seeds;
   }
-  std::cout << range.last - range.first + 1 - broken << " seeds kept every promise, " << broken
-            << " did not" << std::endl;
-  return broken == 0 ? 0 : 1;
+  std::cout << range.last - range.first + 1 - failed_seeds << " seeds kept every promise, "
+            << failed_seeds << " did not" << std::endl;
+  return failed_seeds == 0 ? 0 : 1;
 }
--- a/tests/platform/support/engine_standin.cpp
+++ b/tests/platform/support/engine_standin.cpp
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds kReading{30};    ///< Of a prompt.
-constexpr std::chrono::milliseconds kChanging{800};  ///< From one stage to the other.
+constexpr std::chrono::milliseconds kPrefillDuration{30};       ///< Of a prompt.
+constexpr std::chrono::milliseconds kStageChangeDuration{800};  ///< From one stage to the other.
 
 std::string hexadecimal(std::uint64_t value) {
   constexpr char kDigits[] = "0123456789abcdef";
@@ -25,8 +25,8 @@
   return digits;
 }
 
-bool is_deadly(const HttpRequest& request) {
-  return request.path == Ledger::kDeadlyPath;
+bool crashes_engine(const HttpRequest& request) {
+  return request.path == Ledger::kCrashingPath;
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
       ledger(own_ledger),
       shape(own_shape),
       random(seed),
-      rest_random(seed) {
+      cooldown_random(seed) {
   this->proxy = std::make_unique<FaultProxy>(this->loop, asio::ip::tcp::endpoint());
 }
 
@@ -51,9 +51,9 @@
   this->id = "i-" + hexadecimal(this->random());
   this->stage = this->shape.stage;
   this->state = "ready";
-  this->orders = 0;
+  this->orders_accepted = 0;
   this->highest_fence = 0;
-  this->changing = false;
+  this->changing_stage = false;
   this->limit.reset();
   Http1ServerSettings settings;
   settings.listen = {asio::ip::make_address("127.0.0.1"), 0};
@@ -65,7 +65,7 @@
   this->publish();
 }
 
-void EngineStandin::crash(std::chrono::milliseconds lag) {
+void EngineStandin::crash(std::chrono::milliseconds removal_delay) {
   if (!this->running()) return;
   const auto open = std::exchange(this->runs, {});
   for (const RunPointer& run : open) run->timer->cancel();
@@ -74,26 +74,26 @@
   this->proxy->reset_all();
   // The kernel may give the port to another server, also to one of another soak.
   this->proxy->set_target(asio::ip::tcp::endpoint());
-  this->later = std::make_unique<asio::steady_timer>(this->loop, lag);
-  this->later->async_wait([this, gone = this->id](const std::error_code& error) {
-    if (!error) this->store.remove("servers", gone);
+  this->transition_timer = std::make_unique<asio::steady_timer>(this->loop, removal_delay);
+  this->transition_timer->async_wait([this, removed_id = this->id](const std::error_code& error) {
+    if (!error) this->store.remove("servers", removed_id);
   });
 }
 
-void EngineStandin::drain(std::chrono::milliseconds serve_on) {
+void EngineStandin::drain(std::chrono::milliseconds duration) {
   this->state = "draining";
   this->publish();
-  this->later = std::make_unique<asio::steady_timer>(this->loop, serve_on);
-  this->later->async_wait([this](const std::error_code& error) {
+  this->transition_timer = std::make_unique<asio::steady_timer>(this->loop, duration);
+  this->transition_timer->async_wait([this](const std::error_code& error) {
     if (!error) this->crash(std::chrono::milliseconds(0));
   });
 }
 
-void EngineStandin::lapse(std::chrono::milliseconds away) {
+void EngineStandin::lapse_registration(std::chrono::milliseconds duration) {
   this->store.remove("servers", this->id);
-  this->back = std::make_unique<asio::steady_timer>(this->loop, away);
-  this->back->async_wait([this, lapsed = this->id](const std::error_code& error) {
-    if (!error && this->running() && lapsed == this->id) this->publish();
+  this->reregister_timer = std::make_unique<asio::steady_timer>(this->loop, duration);
+  this->reregister_timer->async_wait([this, lapsed_id = this->id](const std::error_code& error) {
+    if (!error && this->running() && lapsed_id == this->id) this->publish();
   });
 }
 
@@ -102,14 +102,14 @@
   this->fault_share = share;
 }
 
-void EngineStandin::name_limit(std::optional<double> a_second) {
-  this->limit = a_second;
-  if (this->running()) this->ledger.names_limit(this->id, a_second);
+void EngineStandin::set_limit(std::optional<double> per_second) {
+  this->limit = per_second;
+  if (this->running()) this->ledger.on_limit_changed(this->id, per_second);
 }
 
 EngineFault EngineStandin::draw_fault() {
-  const double drawn = std::uniform_real_distribution<double>(0, 1)(this->random);
-  return drawn < this->fault_share ? this->fault : EngineFault::kNone;
+  const double value = std::uniform_real_distribution<double>(0, 1)(this->random);
+  return value < this->fault_share ? this->fault : EngineFault::kNone;
 }
 
 void EngineStandin::publish() {
@@ -120,7 +120,7 @@
                 {"slots", this->shape.slots},
                 {"state", this->state},
                 {"cold_left_ms", 0},
-                {"sequence", this->orders}};
+                {"sequence", this->orders_accepted}};
   if (this->shape.model) entry["stage"] = this->stage;
   this->store.put("servers", this->id, entry);
 }
@@ -137,22 +137,22 @@
 }
 
 /// Of ten refusals seven ask for up to 3 s of rest, one for what cannot be read.
-void EngineStandin::ask_for_rest(const std::string& request, HttpHeaders& fields) {
-  const std::uint64_t drawn = this->rest_random();
-  if (drawn % 10 == 0) return fields.add("Retry-After", drawn % 20 == 0 ? "soon" : "-1");
-  if (drawn % 10 > 7) return;
-  const std::chrono::milliseconds rest(200 + drawn / 10 % 2800);
-  fields.add("Retry-After", to_decimal(static_cast<double>(rest.count()) / 1000));
-  this->ledger.asked_for_rest(request, this->id, rest);
+void EngineStandin::add_cooldown(const std::string& request, HttpHeaders& fields) {
+  const std::uint64_t value = this->cooldown_random();
+  if (value % 10 == 0) return fields.add("Retry-After", value % 20 == 0 ? "soon" : "-1");
+  if (value % 10 > 7) return;
+  const std::chrono::milliseconds cooldown(200 + value / 10 % 2800);
+  fields.add("Retry-After", to_decimal(static_cast<double>(cooldown.count()) / 1000));
+  this->ledger.on_cooldown_requested(request, this->id, cooldown);
 }
 
 void EngineStandin::refuse(const HttpRequest& request, const Responder& responder, int status,
-                           bool sheds) {
+                           bool shed) {
   HttpReply reply;
   reply.status = status;
   const std::string request_id(request.headers.get("X-Request-Id"));
   reply.headers = this->fields(request_id, "");
-  if (sheds) this->ask_for_rest(request_id, reply.headers);
+  if (shed) this->add_cooldown(request_id, reply.headers);
   reply.headers.add(status == 421 ? "X-Instance-Id" : "X-Not-Executed",
                     status == 421 ? this->id : "1");
   responder->respond(std::move(reply));
@@ -161,20 +161,20 @@
 void EngineStandin::handle(const HttpRequest& request, const Responder& responder) {
   const std::string expected(request.headers.get("X-Expect-Instance"));
   if (!expected.empty() && expected != this->id) {
-    if (request.headers.count("X-Request-Id") > 0) this->count_arrival(request, false);
+    if (request.headers.count("X-Request-Id") > 0) this->record_arrival(request, false);
     return this->refuse(request, responder, 421);
   }
   if (request.path == "/v1/report") return this->report(responder);
   if (request.path == "/v1/order") return this->order(request, responder);
   constexpr std::string_view kHandle = "/v1/kv-handle/";
   if (request.path.rfind(kHandle, 0) == 0) return responder->respond({200, {}, ""});
-  this->take(request, responder);
+  this->accept(request, responder);
 }
 
 void EngineStandin::report(const Responder& responder) {
   const json body = {{"stage", this->stage},
-                     {"busy_slots", this->changing},
-                     {"sequence", this->orders},
+                     {"busy_slots", this->changing_stage},
+                     {"sequence", this->orders_accepted},
                      {"running", this->runs.size()}};
   responder->respond({200, this->fields("", ""), body.dump()});
 }
@@ -183,144 +183,145 @@
   const json body = json::parse(request.body, nullptr, false);
   const std::uint64_t fence = body.at("fence");
   if (fence < this->highest_fence) return responder->respond({412, {}, ""});
-  this->ledger.ordered(this->id, body.at("holder"), fence);
+  this->ledger.on_order(this->id, body.at("holder"), fence);
   this->highest_fence = fence;
-  const bool expected = !body.contains("expected") || body["expected"] == this->orders;
-  if (!expected || this->changing) return responder->respond({409, {}, ""});
-  ++this->orders;
+  const bool expected = !body.contains("expected") || body["expected"] == this->orders_accepted;
+  if (!expected || this->changing_stage) return responder->respond({409, {}, ""});
+  ++this->orders_accepted;
   if (body.at("stage") == this->stage) return responder->respond({200, {}, ""});
   this->change_stage(body.at("stage"));
   responder->respond({202, {}, ""});
 }
 
 void EngineStandin::change_stage(const std::string& wanted) {
-  this->changing = true;
-  this->later = std::make_unique<asio::steady_timer>(this->loop, kChanging);
-  this->later->async_wait([this, wanted](const std::error_code& error) {
+  this->changing_stage = true;
+  this->transition_timer = std::make_unique<asio::steady_timer>(this->loop, kStageChangeDuration);
+  this->transition_timer->async_wait([this, wanted](const std::error_code& error) {
     if (error || !this->running()) return;
-    this->changing = false;
+    this->changing_stage = false;
     this->stage = wanted;
     this->publish();
   });
 }
 
-void EngineStandin::count_arrival(const HttpRequest& request, bool reads_apart) {
-  this->ledger.arrived(std::string(request.headers.get("X-Request-Id")), this->shape.service,
-                       reads_apart);
-  if (is_deadly(request)) this->ledger.deadly_arrived(request.body, this->all_calm());
+void EngineStandin::record_arrival(const HttpRequest& request, bool prefill_only) {
+  this->ledger.on_arrival(std::string(request.headers.get("X-Request-Id")), this->shape.service,
+                          prefill_only);
+  if (crashes_engine(request)) this->ledger.on_crashing_request(request.body, this->undisturbed());
 }
 
-std::optional<int> EngineStandin::refusal(EngineFault drawn, bool only_read) const {
-  const bool full = this->runs.size() >= this->shape.slots || this->changing;
+std::optional<int> EngineStandin::refusal_status(EngineFault drawn, bool prefill_only) const {
+  const bool full = this->runs.size() >= this->shape.slots || this->changing_stage;
   if (full || drawn == EngineFault::kSheds) return 503;
-  if (this->shape.model && only_read != (this->stage == "prefill")) return 421;
+  if (this->shape.model && prefill_only != (this->stage == "prefill")) return 421;
   return std::nullopt;
 }
 
-void EngineStandin::take(const HttpRequest& request, const Responder& responder) {
-  const bool only_read = request.headers.get("X-Stage") == "prefill";
+void EngineStandin::accept(const HttpRequest& request, const Responder& responder) {
+  const bool prefill_only = request.headers.get("X-Stage") == "prefill";
   const EngineFault drawn = this->draw_fault();
-  const std::optional<int> refused = this->refusal(drawn, only_read);
-  this->count_arrival(request, only_read && !refused);
-  this->ledger.reached(std::string(request.headers.get("X-Request-Id")), this->id);
-  const bool sheds = drawn == EngineFault::kSheds && refused == 503;
-  if (refused) return this->refuse(request, responder, *refused, sheds);
+  const std::optional<int> status_if_refused = this->refusal_status(drawn, prefill_only);
+  this->record_arrival(request, prefill_only && !status_if_refused);
+  this->ledger.on_received_by_engine(std::string(request.headers.get("X-Request-Id")), this->id);
+  const bool shed = drawn == EngineFault::kSheds && status_if_refused == 503;
+  if (status_if_refused) return this->refuse(request, responder, *status_if_refused, shed);
   if (drawn == EngineFault::kResets) return responder->abort();
-  if (only_read) return this->read_prompt(request, responder);
+  if (prefill_only) return this->prefill(request, responder);
   const std::string source(request.headers.get("X-Kv-Source"));
   if (!source.empty()) {
     const std::string handle = source.substr(source.rfind('/') + 1);
-    this->ledger.took_handle(handle, std::string(request.headers.get("X-Request-Id")));
+    this->ledger.on_handle_used(handle, std::string(request.headers.get("X-Request-Id")));
   }
-  this->begin(request, responder);
+  this->start_run(request, responder);
 }
 
-void EngineStandin::read_prompt(const HttpRequest& request, const Responder& responder) {
+void EngineStandin::prefill(const HttpRequest& request, const Responder& responder) {
   const std::string request_id(request.headers.get("X-Request-Id"));
-  auto timer = std::make_shared<asio::steady_timer>(this->loop, kReading * this->slowness);
+  auto timer = std::make_shared<asio::steady_timer>(this->loop, kPrefillDuration * this->slowness);
   timer->async_wait(
       [this, timer, responder, request_id, incarnation = this->id](const std::error_code& error) {
         if (error || !this->running() || incarnation != this->id) return;
         const std::string handle = hexadecimal(this->random());
-        this->ledger.made_handle(handle, request_id);
+        this->ledger.on_handle_created(handle, request_id);
         const json body = {{"kv_handle", handle}, {"tokens", 100}, {"version", 1}};
         responder->respond({200, this->fields(request_id, ""), body.dump()});
       });
 }
 
-void EngineStandin::begin(const HttpRequest& request, const Responder& responder) {
+void EngineStandin::start_run(const HttpRequest& request, const Responder& responder) {
   const auto run = std::make_shared<Run>();
   run->id = std::string(request.headers.get("X-Request-Id"));
   run->responder = responder;
   run->timer = std::make_unique<asio::steady_timer>(this->loop);
   run->fault = this->draw_fault();
-  this->ledger.runs(run->id, this->shape.service, request.method, request.target, request.body);
+  this->ledger.on_run(run->id, this->shape.service, request.method, request.target, request.body);
   this->runs.insert(run);
-  if (is_deadly(request)) return this->end_under(request, run);
-  responder->on_closed([this, run] { this->end(run); });
+  if (crashes_engine(request)) return this->run_crashing_request(request, run);
+  responder->on_closed([this, run] { this->end_run(run); });
   if (this->shape.model) this->begin_stream(run, request);
   if (run->fault == EngineFault::kHangs) return;
-  this->step(run);
+  this->schedule_step(run);
 }
 
 /// Ends with all that it runs, a moment after it has begun to answer.
-void EngineStandin::end_under(const HttpRequest& request, const RunPointer& run) {
+void EngineStandin::run_crashing_request(const HttpRequest& request, const RunPointer& run) {
   this->begin_stream(run, request);
-  run->timer->expires_after(this->pace());
+  run->timer->expires_after(this->scaled_step_duration());
   run->timer->async_wait([this, run, name = request.body](const std::error_code& error) {
     if (error || this->runs.count(run) == 0) return;
-    this->ledger.deadly_ended_engine(name);
-    this->end_engine();
+    this->ledger.on_engine_crashed(name);
+    this->crash_handler();
   });
 }
 
 void EngineStandin::begin_stream(const RunPointer& run, const HttpRequest& request) {
-  const SentByCaller* sent = this->ledger.find(run->id);
-  run->last = sent == nullptr ? 1 : sent->pieces;
-  const std::string last_event(request.headers.get("Last-Event-Id"));
-  if (!last_event.empty()) run->next = std::stoull(last_event) + 1;
-  const std::string seal = this->ledger.answers({run->id, 200, "", this->id});
+  const SentRequest* sent = this->ledger.find(run->id);
+  run->last_event = sent == nullptr ? 1 : sent->event_count;
+  const std::string last_event_id(request.headers.get("Last-Event-Id"));
+  if (!last_event_id.empty()) run->next_event = std::stoull(last_event_id) + 1;
+  const std::string seal = this->ledger.seal_answer({run->id, 200, "", this->id});
   HttpHeaders fields = this->fields(run->id, seal);
   fields.add("Content-Type", "text/event-stream");
   run->responder->begin_stream(200, fields);
 }
 
-void EngineStandin::step(const RunPointer& run) {
-  run->timer->expires_after(this->pace());
+void EngineStandin::schedule_step(const RunPointer& run) {
+  run->timer->expires_after(this->scaled_step_duration());
   run->timer->async_wait([this, run](const std::error_code& error) {
     if (error || this->runs.count(run) == 0) return;
     if (!this->shape.model) return this->answer_plain(run);
-    if (run->next > run->last) {
+    if (run->next_event > run->last_event) {
       run->responder->finish();
-      return this->end(run);
+      return this->end_run(run);
     }
-    const bool breaks = run->fault == EngineFault::kLosesAnswers && run->next > run->last / 2;
-    const std::string text = Ledger::event_text(run->id, run->next);
-    std::string event = "id: " + std::to_string(run->next) + "\ndata: " + text + "\n\n";
-    if (breaks) event.resize(event.size() / 2);
+    const bool aborts =
+        run->fault == EngineFault::kLosesAnswers && run->next_event > run->last_event / 2;
+    const std::string text = Ledger::event_text(run->id, run->next_event);
+    std::string event = "id: " + std::to_string(run->next_event) + "\ndata: " + text + "\n\n";
+    if (aborts) event.resize(event.size() / 2);
     run->responder->write(event);
-    if (breaks) {
+    if (aborts) {
       run->responder->abort();
-      return this->end(run);
+      return this->end_run(run);
     }
-    ++run->next;
-    this->step(run);
+    ++run->next_event;
+    this->schedule_step(run);
   });
 }
 
 void EngineStandin::answer_plain(const RunPointer& run) {
   if (run->fault == EngineFault::kLosesAnswers) {
     run->responder->abort();
-    return this->end(run);
+    return this->end_run(run);
   }
-  AnswerOfEngine answer{run->id, run->fault == EngineFault::kErrors ? 500 : 200,
-                        "answer to " + run->id + " by " + this->id, this->id};
-  const std::string seal = this->ledger.answers(answer);
+  EngineAnswer answer{run->id, run->fault == EngineFault::kErrors ? 500 : 200,
+                      "answer to " + run->id + " by " + this->id, this->id};
+  const std::string seal = this->ledger.seal_answer(answer);
   run->responder->respond({answer.status, this->fields(run->id, seal), answer.body});
-  this->end(run);
+  this->end_run(run);
 }
 
-void EngineStandin::end(const RunPointer& run) {
+void EngineStandin::end_run(const RunPointer& run) {
   run->timer->cancel();
   this->runs.erase(run);
 }
--- a/tests/platform/support/engine_standin.hpp
+++ b/tests/platform/support/engine_standin.hpp
@@ -26,7 +26,7 @@
   bool model = false;
   std::string stage;  ///< `prefill` or `decode` at its start; empty for plain engines.
   std::size_t slots = 48;
-  std::chrono::milliseconds step{10};  ///< Between two events, or for a plain answer.
+  std::chrono::milliseconds step_duration{10};  ///< Between two events, or for a plain answer.
 
   bool operator==(const EngineShape&) const = default;
 };
@@ -45,28 +45,28 @@
   void start();
 
   /// Ends at once. Its registration goes after `lag`.
-  void crash(std::chrono::milliseconds lag);
+  void crash(std::chrono::milliseconds removal_delay);
 
-  /// Says that it drains, and ends after `serve_on`.
-  void drain(std::chrono::milliseconds serve_on);
+  /// Says that it drains, and ends after `duration`.
+  void drain(std::chrono::milliseconds duration);
 
   /// Its entry goes while it serves on, and comes back after a while.
-  void lapse(std::chrono::milliseconds away);
+  void lapse_registration(std::chrono::milliseconds duration);
 
   /// Misbehaves in a share of its answers.
   void set_fault(EngineFault fault, double share);
 
   /// Names how many requests a second it takes, or none any more.
-  void name_limit(std::optional<double> a_second);
+  void set_limit(std::optional<double> per_second);
 
   /// Works `times` as long for each step.
   void set_slowness(int times) { this->slowness = times; }
 
   /// Sets what is called when a request has come that ends the engine, and whether all else is
   /// calm.
-  void on_deadly(std::function<void()> end, std::function<bool()> calm) {
-    this->end_engine = std::move(end);
-    this->all_calm = std::move(calm);
+  void set_crash_handlers(std::function<void()> crash, std::function<bool()> is_undisturbed) {
+    this->crash_handler = std::move(crash);
+    this->undisturbed = std::move(is_undisturbed);
   }
 
   /// Its words may not have been heard.
@@ -83,55 +83,57 @@
     std::string id;
     Responder responder;
     std::unique_ptr<asio::steady_timer> timer;
-    std::uint64_t next = 1;
-    std::uint64_t last = 0;
+    std::uint64_t next_event = 1;
+    std::uint64_t last_event = 0;
     EngineFault fault = EngineFault::kNone;
   };
   using RunPointer = std::shared_ptr<Run>;
 
   void handle(const HttpRequest& request, const Responder& responder);
-  void take(const HttpRequest& request, const Responder& responder);
-  void count_arrival(const HttpRequest& request, bool reads_apart);
+  void accept(const HttpRequest& request, const Responder& responder);
+  void record_arrival(const HttpRequest& request, bool prefill_only);
   /// @return the status that the request is refused with, or nothing.
-  std::optional<int> refusal(EngineFault drawn, bool only_read) const;
-  void read_prompt(const HttpRequest& request, const Responder& responder);
+  std::optional<int> refusal_status(EngineFault drawn, bool prefill_only) const;
+  void prefill(const HttpRequest& request, const Responder& responder);
   void report(const Responder& responder);
   void order(const HttpRequest& request, const Responder& responder);
   void change_stage(const std::string& wanted);
-  void begin(const HttpRequest& request, const Responder& responder);
-  void step(const RunPointer& run);
+  void start_run(const HttpRequest& request, const Responder& responder);
+  void schedule_step(const RunPointer& run);
   void answer_plain(const RunPointer& run);
-  void end_under(const HttpRequest& request, const RunPointer& run);
+  void run_crashing_request(const HttpRequest& request, const RunPointer& run);
   void begin_stream(const RunPointer& run, const HttpRequest& request);
-  void end(const RunPointer& run);
+  void end_run(const RunPointer& run);
   void refuse(const HttpRequest& request, const Responder& responder, int status,
-              bool sheds = false);
-  void ask_for_rest(const std::string& request, HttpHeaders& fields);
+              bool shed = false);
+  void add_cooldown(const std::string& request, HttpHeaders& fields);
   HttpHeaders fields(const std::string& id, const std::string& seal) const;
   EngineFault draw_fault();
   void publish();
-  std::chrono::milliseconds pace() const { return this->shape.step * this->slowness; }
+  std::chrono::milliseconds scaled_step_duration() const {
+    return this->shape.step_duration * this->slowness;
+  }
 
   asio::io_context& loop;
   StoreStandin& store;
   Ledger& ledger;
   EngineShape shape;
   std::mt19937_64 random;
-  std::mt19937_64 rest_random;  ///< Of its own: all else of a seed stays as it is.
+  std::mt19937_64 cooldown_random;  ///< Of its own: all else of a seed stays as it is.
   std::unique_ptr<Http1Server> server;
   std::unique_ptr<FaultProxy> proxy;
-  std::unique_ptr<asio::steady_timer> later;
-  std::unique_ptr<asio::steady_timer> back;  ///< Until a lapsed entry is back.
+  std::unique_ptr<asio::steady_timer> transition_timer;
+  std::unique_ptr<asio::steady_timer> reregister_timer;  ///< Until a lapsed entry is back.
   std::string id;
   std::string stage;
   std::string state;
-  std::uint64_t orders = 0;
+  std::uint64_t orders_accepted = 0;
   std::uint64_t highest_fence = 0;
-  bool changing = false;
+  bool changing_stage = false;
   std::set<RunPointer> runs;
   EngineFault fault = EngineFault::kNone;
-  std::function<void()> end_engine;
-  std::function<bool()> all_calm;
+  std::function<void()> crash_handler;
+  std::function<bool()> undisturbed;
   double fault_share = 0;
   std::optional<double> limit;
   int slowness = 1;
--- a/tests/platform/support/fault_proxy.cpp
+++ b/tests/platform/support/fault_proxy.cpp
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 
 /// How often a pump that holds bytes back looks whether it may go on.
-constexpr std::chrono::milliseconds kLook{20};
+constexpr std::chrono::milliseconds kHoldPollInterval{20};
 
 /// Closes with a reset instead of an orderly end.
 void reset(Tcp::socket& socket) {
@@ -33,20 +33,22 @@
   class Link : public std::enable_shared_from_this<Link> {
    public:
     Link(std::shared_ptr<Impl> proxy, Tcp::socket accepted)
-        : owner(std::move(proxy)), near(std::move(accepted)), far(this->owner->loop) {}
+        : owner(std::move(proxy)),
+          client_side(std::move(accepted)),
+          target_side(this->owner->loop) {}
 
     void start() {
       auto self = this->shared_from_this();
-      this->far.async_connect(this->owner->target, [self](const std::error_code& error) {
+      this->target_side.async_connect(this->owner->target, [self](const std::error_code& error) {
         if (error) return self->abort();
-        self->pump(self->near, self->far, self->up, true);
-        self->pump(self->far, self->near, self->down, false);
+        self->pump(self->client_side, self->target_side, self->up, true);
+        self->pump(self->target_side, self->client_side, self->down, false);
       });
     }
 
     void abort() {
-      reset(this->near);
-      reset(this->far);
+      reset(this->client_side);
+      reset(this->target_side);
       this->owner->links.erase(this->shared_from_this());
     }
 
@@ -63,36 +65,36 @@
       from.async_read_some(
           asio::buffer(direction.bytes),
           [self, &from, &to, &direction, upward](const std::error_code& error, std::size_t size) {
-            if (error == asio::error::eof) return self->end(to);
+            if (error == asio::error::eof) return self->forward_end(to);
             if (error) return self->abort();
             direction.size = size;
-            const auto carried = upward ? 0ms : self->owner->time_on_link(size);
-            self->hold(from, to, direction, upward, self->owner->state.delay + carried);
+            const auto transmission = upward ? 0ms : self->owner->transmission_time(size);
+            self->schedule(from, to, direction, upward, self->owner->state.delay + transmission);
           });
     }
 
     /// Passes an orderly end on. The other direction may still have bytes.
-    void end(Tcp::socket& to) {
+    void forward_end(Tcp::socket& to) {
       std::error_code ignored;
       to.shutdown(Tcp::socket::shutdown_send, ignored);
       if (std::exchange(this->half_closed, true)) this->abort();
     }
 
-    void hold(Tcp::socket& from, Tcp::socket& to, Direction& direction, bool upward,
-              std::chrono::milliseconds wait) {
+    void schedule(Tcp::socket& from, Tcp::socket& to, Direction& direction, bool upward,
+                  std::chrono::milliseconds wait) {
       const LinkState& state = this->owner->state;
-      const bool silent = upward ? state.silent_up : state.silent_down;
-      if (!silent && wait.count() == 0) return this->pass(from, to, direction, upward);
-      direction.timer =
-          std::make_unique<asio::steady_timer>(this->owner->loop, wait.count() > 0 ? wait : kLook);
+      const bool stalled = upward ? state.stalled_up : state.stalled_down;
+      if (!stalled && wait.count() == 0) return this->forward(from, to, direction, upward);
+      direction.timer = std::make_unique<asio::steady_timer>(
+          this->owner->loop, wait.count() > 0 ? wait : kHoldPollInterval);
       auto self = this->shared_from_this();
       direction.timer->async_wait(
           [self, &from, &to, &direction, upward](const std::error_code& error) {
-            if (!error) self->hold(from, to, direction, upward, std::chrono::milliseconds(0));
+            if (!error) self->schedule(from, to, direction, upward, std::chrono::milliseconds(0));
           });
     }
 
-    void pass(Tcp::socket& from, Tcp::socket& to, Direction& direction, bool upward) {
+    void forward(Tcp::socket& from, Tcp::socket& to, Direction& direction, bool upward) {
       auto self = this->shared_from_this();
       asio::async_write(
           to, asio::buffer(direction.bytes.data(), direction.size),
@@ -103,8 +105,8 @@
     }
 
     std::shared_ptr<Impl> owner;
-    Tcp::socket near;
-    Tcp::socket far;
+    Tcp::socket client_side;
+    Tcp::socket target_side;
     Direction up;
     Direction down;
     bool half_closed = false;
@@ -131,19 +133,19 @@
   }
 
   /// @return when the link will have carried so many bytes, after all that it has taken before.
-  std::chrono::milliseconds time_on_link(std::size_t bytes) {
+  std::chrono::milliseconds transmission_time(std::size_t bytes) {
     if (this->rate_down == 0) return 0ms;
     const auto now = std::chrono::steady_clock::now();
-    const std::chrono::microseconds taken(1'000'000 * bytes / this->rate_down);
-    this->free_at = std::max(now, this->free_at) + taken;
-    return std::chrono::duration_cast<std::chrono::milliseconds>(this->free_at - now);
+    const std::chrono::microseconds duration(1'000'000 * bytes / this->rate_down);
+    this->link_free_at = std::max(now, this->link_free_at) + duration;
+    return std::chrono::duration_cast<std::chrono::milliseconds>(this->link_free_at - now);
   }
 
   asio::io_context& loop;
   Tcp::endpoint target;
   Tcp::acceptor acceptor;
   std::size_t rate_down = 0;  ///< Bytes a second.
-  std::chrono::steady_clock::time_point free_at{};
+  std::chrono::steady_clock::time_point link_free_at{};
   LinkState state;
   std::set<std::shared_ptr<Link>> links;
 };
--- a/tests/platform/support/fault_proxy.hpp
+++ b/tests/platform/support/fault_proxy.hpp
@@ -12,8 +12,8 @@
 
 /// What the relay does to the bytes.
 struct LinkState {
-  bool silent_up = false;              ///< Bytes towards the target are held back.
-  bool silent_down = false;            ///< Bytes from the target are held back.
+  bool stalled_up = false;             ///< Bytes towards the target are held back.
+  bool stalled_down = false;           ///< Bytes from the target are held back.
   bool refusing = false;               ///< New connections are reset.
   std::chrono::milliseconds delay{0};  ///< For each piece, in both directions.
 
--- a/tests/platform/support/ledger.cpp
+++ b/tests/platform/support/ledger.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// These statuses promise that the request has not run and never will.
-bool promises_not_run(int status) {
+bool means_not_run(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -17,9 +17,9 @@
 }
 
 /// Engines that a request may end, and how often it may reach one once that is known everywhere.
-constexpr std::size_t kEnoughEnded = 3;
-constexpr std::size_t kMostLateSends = 3;
-constexpr std::chrono::seconds kKnownEverywhere{3};
+constexpr std::size_t kCrashLimit = 3;
+constexpr std::size_t kMaxLateSends = 3;
+constexpr std::chrono::seconds kPropagationTime{3};
 
 }  // namespace
 
@@ -27,11 +27,11 @@
   return "text of " + id + " piece " + std::to_string(number);
 }
 
-void Ledger::broke(const std::string& rule, const std::string& what) {
-  this->promises.push_back({rule, what});
+void Ledger::add_violation(const std::string& rule, const std::string& what) {
+  this->recorded_violations.push_back({rule, what});
 }
 
-const SentByCaller* Ledger::find(const std::string& id) const {
+const SentRequest* Ledger::find(const std::string& id) const {
   const auto found = this->requests.find(id);
   return found == this->requests.end() ? nullptr : &found->second;
 }
@@ -41,91 +41,94 @@
   return found == this->run_counts.end() ? 0 : found->second;
 }
 
-void Ledger::sent(const SentByCaller& request) {
+void Ledger::on_sent(const SentRequest& request) {
   this->requests[request.id] = request;
   this->arrivals[request.service].requests.push_back(std::chrono::steady_clock::now());
 }
 
-void Ledger::got_answer(const std::string& id, int status, const std::string& seal,
-                        const std::string& body) {
-  const SentByCaller* request = this->find(id);
-  if (request == nullptr) return this->broke("MIXED", "answer to no request: " + id);
-  if (promises_not_run(status) && !request->repeatable) {
-    this->promised_not_run[id] = true;
-    if (this->count_runs(id) > 0) this->broke("REFUSED", id + " had run");
+void Ledger::on_answer_received(const std::string& id, int status, const std::string& seal,
+                                const std::string& body) {
+  const SentRequest* request = this->find(id);
+  if (request == nullptr) return this->add_violation("MIXED", "answer to no request: " + id);
+  if (means_not_run(status) && !request->repeatable) {
+    this->refused_as_not_run[id] = true;
+    if (this->count_runs(id) > 0) this->add_violation("REFUSED", id + " had run");
   }
   const bool success = status >= 200 && status < 300;
   if (seal.empty()) {
-    if (success) this->broke("MIXED", id + ": a success without a seal");
+    if (success) this->add_violation("MIXED", id + ": a success without a seal");
     return;
   }
   const auto answer = this->answers_by_seal.find(seal);
   if (answer == this->answers_by_seal.end()) {
-    return this->broke("MIXED", id + ": a seal that no engine gave");
+    return this->add_violation("MIXED", id + ": a seal that no engine gave");
   }
-  if (answer->second.request != id) this->broke("MIXED", id + ": another request's answer");
-  if (answer->second.status != status) this->broke("MIXED", id + ": another status");
+  if (answer->second.request != id) this->add_violation("MIXED", id + ": another request's answer");
+  if (answer->second.status != status) this->add_violation("MIXED", id + ": another status");
   // The body of a stream is checked event by event.
-  if (request->pieces == 0 && answer->second.body != body) {
-    this->broke("MIXED", id + ": another body");
+  if (request->event_count == 0 && answer->second.body != body) {
+    this->add_violation("MIXED", id + ": another body");
   }
 }
 
-void Ledger::got_word_of_leaving(const std::string& seal) {
+void Ledger::on_draining_received(const std::string& seal) {
   const auto answer = this->answers_by_seal.find(seal);
   if (answer == this->answers_by_seal.end()) return;
-  const SentByCaller* request = this->find(answer->second.request);
+  const SentRequest* request = this->find(answer->second.request);
   if (request == nullptr) return;
   this->notices.told_leaving(monotonic_now(), {request->node, answer->second.engine});
 }
 
-void Ledger::reached(const std::string& id, const std::string& engine) {
-  const SentByCaller* request = this->find(id);
+void Ledger::on_received_by_engine(const std::string& id, const std::string& engine) {
+  const SentRequest* request = this->find(id);
   if (request == nullptr) return;
   const NodeAndStart pair{request->node, engine};
-  const std::string broken = this->notices.reaches(monotonic_now(), pair, request->at);
-  if (!broken.empty()) this->broke("NOTICE", id + " reaches an engine: " + broken);
+  const std::string violation = this->notices.reaches(monotonic_now(), pair, request->sent_at);
+  if (!violation.empty()) this->add_violation("NOTICE", id + " reaches an engine: " + violation);
   const std::string over = this->limits.reaches(monotonic_now(), pair);
-  if (!over.empty()) this->broke("LIMIT", id + " reaches an engine: " + over);
+  if (!over.empty()) this->add_violation("LIMIT", id + " reaches an engine: " + over);
 }
 
-void Ledger::names_limit(const std::string& engine, std::optional<double> a_second) {
-  if (!a_second) return this->limits.names_none(engine);
-  this->limits.names(monotonic_now(), engine, *a_second);
+void Ledger::on_limit_changed(const std::string& engine, std::optional<double> per_second) {
+  if (!per_second) return this->limits.names_none(engine);
+  this->limits.names(monotonic_now(), engine, *per_second);
 }
 
-void Ledger::got_limit(const std::string& seal) {
+void Ledger::on_limit_received(const std::string& seal) {
   const auto answer = this->answers_by_seal.find(seal);
   if (answer == this->answers_by_seal.end()) return;
-  const SentByCaller* request = this->find(answer->second.request);
+  const SentRequest* request = this->find(answer->second.request);
   if (request == nullptr) return;
   this->limits.told(monotonic_now(), {request->node, answer->second.engine});
 }
 
-void Ledger::asked_for_rest(const std::string& id, const std::string& engine, Duration rest) {
-  const SentByCaller* request = this->find(id);
+void Ledger::on_cooldown_requested(const std::string& id, const std::string& engine,
+                                   Duration duration) {
+  const SentRequest* request = this->find(id);
   if (request == nullptr) return;
-  this->notices.asked_for_rest(monotonic_now(), {request->node, engine}, rest);
+  this->notices.asked_for_rest(monotonic_now(), {request->node, engine}, duration);
 }
 
-bool Ledger::got_event(const std::string& id, std::uint64_t number, const std::string& text) {
+bool Ledger::on_event_received(const std::string& id, std::uint64_t number,
+                               const std::string& text) {
   if (text == event_text(id, number)) return true;
-  this->broke("ORDER", id + ": event " + std::to_string(number) + " is not its own: " + text);
+  this->add_violation("ORDER",
+                      id + ": event " + std::to_string(number) + " is not its own: " + text);
   return false;
 }
 
-void Ledger::got_stream_end(const std::string& id, std::uint64_t last) {
-  const SentByCaller* request = this->find(id);
-  if (request == nullptr || request->pieces == last) return;
-  this->broke("ORDER", id + ": ended as whole after event " + std::to_string(last) + " of " +
-                           std::to_string(request->pieces));
+void Ledger::on_stream_end_received(const std::string& id, std::uint64_t last) {
+  const SentRequest* request = this->find(id);
+  if (request == nullptr || request->event_count == last) return;
+  this->add_violation("ORDER", id + ": ended as whole after event " + std::to_string(last) +
+                                   " of " + std::to_string(request->event_count));
 }
 
-void Ledger::arrived(const std::string& id, const std::string& service, bool reads_apart) {
-  if (this->find(id) == nullptr) return this->broke("UNASKED", id + " was never sent");
+void Ledger::on_arrival(const std::string& id, const std::string& service, bool prefill_only) {
+  if (this->find(id) == nullptr) return this->add_violation("UNASKED", id + " was never sent");
   // The first prompt that is taken up to be read apart is not extra.
-  if (reads_apart && !std::exchange(this->seen_reads[id], true)) return;
-  if (this->seen_arrivals[id]++ == 0 && !reads_apart) return;
+  if (prefill_only && !std::exchange(this->prefill_seen[id], true)) return;
+  if (this->arrival_counts[id]++ == 0 && !prefill_only) return;
   const SteadyTime now = std::chrono::steady_clock::now();
   this->arrivals[service].repeats.push_back(now);
   this->check_budget(service, now);
@@ -141,70 +144,70 @@
   };
   const std::chrono::milliseconds window = this->bound.window;
   const std::chrono::milliseconds none{0};
-  const double asked = std::max({within(of_service.requests, none, window),
-                                 within(of_service.requests, window, 2 * window),
-                                 within(of_service.requests, window / 2, window + window / 2)});
-  const double repeated = within(of_service.repeats, none, window);
-  if (repeated <= asked * this->bound.ratio + this->bound.slack) return;
-  this->broke("BUDGET", service + ": " + std::to_string(repeated) + " repeats of " +
-                            std::to_string(asked) + " requests");
+  const double request_count = std::max(
+      {within(of_service.requests, none, window), within(of_service.requests, window, 2 * window),
+       within(of_service.requests, window / 2, window + window / 2)});
+  const double repeat_count = within(of_service.repeats, none, window);
+  if (repeat_count <= request_count * this->bound.ratio + this->bound.slack) return;
+  this->add_violation("BUDGET", service + ": " + std::to_string(repeat_count) + " repeats of " +
+                                    std::to_string(request_count) + " requests");
   of_service.repeats.clear();
 }
 
-void Ledger::runs(const std::string& id, const std::string& service, const std::string& method,
-                  const std::string& target, const std::string& body) {
-  const SentByCaller* request = this->find(id);
-  if (request == nullptr) return this->broke("UNASKED", id + " was never sent");
+void Ledger::on_run(const std::string& id, const std::string& service, const std::string& method,
+                    const std::string& target, const std::string& body) {
+  const SentRequest* request = this->find(id);
+  if (request == nullptr) return this->add_violation("UNASKED", id + " was never sent");
   const bool same = request->method == method && request->target == target && request->body == body;
-  if (!same) this->broke("UNASKED", id + " was changed on its way");
-  if (request->service != service) this->broke("ROUTE", id + " ran at " + service);
+  if (!same) this->add_violation("UNASKED", id + " was changed on its way");
+  if (request->service != service) this->add_violation("ROUTE", id + " ran at " + service);
   const std::uint64_t count = ++this->run_counts[id];
-  if (count > 1 && !request->repeatable) this->broke("TWICE", id);
-  if (this->promised_not_run.count(id) > 0) this->broke("REFUSED", id + " runs later");
+  if (count > 1 && !request->repeatable) this->add_violation("TWICE", id);
+  if (this->refused_as_not_run.count(id) > 0) this->add_violation("REFUSED", id + " runs later");
 }
 
-std::string Ledger::answers(const AnswerOfEngine& answer) {
-  std::string seal = "seal-" + std::to_string(++this->seals);
+std::string Ledger::seal_answer(const EngineAnswer& answer) {
+  std::string seal = "seal-" + std::to_string(++this->seal_count);
   this->answers_by_seal[seal] = answer;
   return seal;
 }
 
-void Ledger::made_handle(const std::string& handle, const std::string& id) {
+void Ledger::on_handle_created(const std::string& handle, const std::string& id) {
   this->handles[handle] = id;
 }
 
-void Ledger::took_handle(const std::string& handle, const std::string& id) {
+void Ledger::on_handle_used(const std::string& handle, const std::string& id) {
   const auto made = this->handles.find(handle);
   if (made != this->handles.end() && made->second != id) {
-    this->broke("MIXED", id + " goes on from the memory of " + made->second);
+    this->add_violation("MIXED", id + " goes on from the memory of " + made->second);
   }
 }
 
-void Ledger::deadly_arrived(const std::string& name, bool calm) {
-  Deadly& request = this->deadly[name];
-  const bool late = request.ended >= kEnoughEnded &&
-                    std::chrono::steady_clock::now() - request.third > kKnownEverywhere;
-  if (!late || !calm || ++request.late != kMostLateSends + 1) return;
-  this->broke("CRASHING", name + " is sent on, after it has ended " +
-                              std::to_string(request.ended) + " engines");
+void Ledger::on_crashing_request(const std::string& name, bool undisturbed) {
+  CrashingRequest& request = this->crashing_requests[name];
+  const bool late = request.crashes >= kCrashLimit &&
+                    std::chrono::steady_clock::now() - request.third_crash_at > kPropagationTime;
+  if (!late || !undisturbed || ++request.late_sends != kMaxLateSends + 1) return;
+  this->add_violation("CRASHING", name + " is sent on, after it has ended " +
+                                      std::to_string(request.crashes) + " engines");
 }
 
-void Ledger::deadly_ended_engine(const std::string& name) {
-  Deadly& request = this->deadly[name];
-  if (++request.ended == kEnoughEnded) request.third = std::chrono::steady_clock::now();
+void Ledger::on_engine_crashed(const std::string& name) {
+  CrashingRequest& request = this->crashing_requests[name];
+  if (++request.crashes == kCrashLimit) request.third_crash_at = std::chrono::steady_clock::now();
 }
 
-std::size_t Ledger::ended_under(const std::string& name) const {
-  const auto found = this->deadly.find(name);
-  return found == this->deadly.end() ? 0 : found->second.ended;
+std::size_t Ledger::crash_count(const std::string& name) const {
+  const auto found = this->crashing_requests.find(name);
+  return found == this->crashing_requests.end() ? 0 : found->second.crashes;
 }
 
-void Ledger::ordered(const std::string& engine, const std::string& holder, std::uint64_t fence) {
+void Ledger::on_order(const std::string& engine, const std::string& holder, std::uint64_t fence) {
   const std::string machine = machine_of(holder);
-  const auto [known, first] = this->holders[engine].try_emplace(fence, machine);
-  if (!first && known->second != machine) {
-    this->broke("ONE", engine + ": " + machine + " and " + known->second + " under fence " +
-                           std::to_string(fence));
+  const auto [known, inserted] = this->fence_holders[engine].try_emplace(fence, machine);
+  if (!inserted && known->second != machine) {
+    this->add_violation("ONE", engine + ": " + machine + " and " + known->second + " under fence " +
+                                   std::to_string(fence));
   }
 }
 
--- a/tests/platform/support/ledger.hpp
+++ b/tests/platform/support/ledger.hpp
@@ -19,36 +19,36 @@
 using SteadyTime = std::chrono::steady_clock::time_point;
 
 /// What a request is, as its caller made it.
-struct SentByCaller {
+struct SentRequest {
   std::string id;
   std::string method;
   std::string target;
   std::string body;
-  std::string service;       ///< The only one that may run it.
-  bool repeatable = false;   ///< May run more than once.
-  std::uint64_t pieces = 0;  ///< Events of a whole stream; 0: a plain answer.
-  std::string node{};        ///< That it was sent to.
-  MonotonicTime at{};        ///< When.
+  std::string service;            ///< The only one that may run it.
+  bool repeatable = false;        ///< May run more than once.
+  std::uint64_t event_count = 0;  ///< Events of a whole stream; 0: a plain answer.
+  std::string node{};             ///< That it was sent to.
+  MonotonicTime sent_at{};        ///< When.
 
-  bool operator==(const SentByCaller&) const = default;
+  bool operator==(const SentRequest&) const = default;
 };
 
 /// One answer of an engine, as it left.
-struct AnswerOfEngine {
+struct EngineAnswer {
   std::string request;
   int status = 0;
   std::string body;
   std::string engine{};  ///< The start that gave it.
 
-  bool operator==(const AnswerOfEngine&) const = default;
+  bool operator==(const EngineAnswer&) const = default;
 };
 
 /// A promise that was broken, by its rule's usual name.
-struct BrokenPromise {
+struct Violation {
   std::string rule;
   std::string what;
 
-  bool operator==(const BrokenPromise&) const = default;
+  bool operator==(const Violation&) const = default;
 };
 
 /// Bound on repeated arrivals of a service.
@@ -62,50 +62,50 @@
 class Ledger {
  public:
   /// Of the requests that end engines.
-  static constexpr std::string_view kDeadlyPath = "/stream/deadly";
+  static constexpr std::string_view kCrashingPath = "/stream/deadly";
 
   explicit Ledger(const RetryBound& retry_bound) : bound(retry_bound) {}
 
   /// Until a node sends no request any more to an engine that has told it that it leaves.
-  static constexpr std::chrono::milliseconds kUntilNone{2000};
+  static constexpr std::chrono::milliseconds kDrainingGrace{2000};
 
   // Callers.
-  void sent(const SentByCaller& request);
-  void got_answer(const std::string& id, int status, const std::string& seal,
-                  const std::string& body);
+  void on_sent(const SentRequest& request);
+  void on_answer_received(const std::string& id, int status, const std::string& seal,
+                          const std::string& body);
   /// The head of an answer has come that says that its engine leaves.
-  void got_word_of_leaving(const std::string& seal);
+  void on_draining_received(const std::string& seal);
   /// The head of an answer has come that names its engine's limit.
-  void got_limit(const std::string& seal);
+  void on_limit_received(const std::string& seal);
   /// One event of a stream, in its order. @return whether it was the one expected.
-  bool got_event(const std::string& id, std::uint64_t number, const std::string& text);
-  void got_stream_end(const std::string& id, std::uint64_t last);
+  bool on_event_received(const std::string& id, std::uint64_t number, const std::string& text);
+  void on_stream_end_received(const std::string& id, std::uint64_t last);
 
   // Engines.
   /// @param reads_apart whether the engine takes the request up only to read its prompt; one that
   /// it refuses has arrived like any other.
-  void arrived(const std::string& id, const std::string& service, bool reads_apart);
+  void on_arrival(const std::string& id, const std::string& service, bool prefill_only);
   /// A request is at an engine that it was meant for, whatever becomes of it.
-  void reached(const std::string& id, const std::string& engine);
+  void on_received_by_engine(const std::string& id, const std::string& engine);
   /// An engine turns a request away and asks its node for rest.
-  void asked_for_rest(const std::string& id, const std::string& engine, Duration rest);
+  void on_cooldown_requested(const std::string& id, const std::string& engine, Duration duration);
   /// An engine says from now on how many requests a second it takes from all nodes together, or
   /// says so no more.
-  void names_limit(const std::string& engine, std::optional<double> a_second);
-  void runs(const std::string& id, const std::string& service, const std::string& method,
-            const std::string& target, const std::string& body);
+  void on_limit_changed(const std::string& engine, std::optional<double> per_second);
+  void on_run(const std::string& id, const std::string& service, const std::string& method,
+              const std::string& target, const std::string& body);
   /// @return the seal to send with the answer.
-  std::string answers(const AnswerOfEngine& answer);
-  void made_handle(const std::string& handle, const std::string& id);
-  void took_handle(const std::string& handle, const std::string& id);
+  std::string seal_answer(const EngineAnswer& answer);
+  void on_handle_created(const std::string& handle, const std::string& id);
+  void on_handle_used(const std::string& handle, const std::string& id);
   /// A request that ends each engine that runs it has reached one, or has ended one.
   /// @param name of the request, whatever ids its tries have. @param calm all relays and the store
   /// have been undisturbed for as long as knowledge may take to be everywhere.
-  void deadly_arrived(const std::string& name, bool calm);
-  void deadly_ended_engine(const std::string& name);
-  std::size_t ended_under(const std::string& name) const;
+  void on_crashing_request(const std::string& name, bool undisturbed);
+  void on_engine_crashed(const std::string& name);
+  std::size_t crash_count(const std::string& name) const;
 
-  void ordered(const std::string& engine, const std::string& holder, std::uint64_t fence);
+  void on_order(const std::string& engine, const std::string& holder, std::uint64_t fence);
 
   // Disturbances.
   /// A node was restarted, stood still or woke.
@@ -120,13 +120,13 @@
   /// The way from an engine to the nodes was cut or harmed.
   void link_disturbed(const std::string& engine) { this->notices.excuse_rests(engine); }
 
-  void broke(const std::string& rule, const std::string& what);
+  void add_violation(const std::string& rule, const std::string& what);
 
   /// @return the largest share of what limits allow that any window held.
-  double most_of_limits() const { return this->limits.most(); }
+  double max_limit_utilization() const { return this->limits.most(); }
 
-  const SentByCaller* find(const std::string& id) const;
-  const std::vector<BrokenPromise>& broken() const { return this->promises; }
+  const SentRequest* find(const std::string& id) const;
+  const std::vector<Violation>& violations() const { return this->recorded_violations; }
   std::uint64_t count_runs(const std::string& id) const;
 
   /// @return the text of event `number` of a request's stream.
@@ -137,28 +137,28 @@
     std::deque<SteadyTime> requests;
     std::deque<SteadyTime> repeats;
   };
-  struct Deadly {
-    std::size_t ended = 0;
-    SteadyTime third{};  ///< When the third engine ended.
-    std::size_t late = 0;
+  struct CrashingRequest {
+    std::size_t crashes = 0;
+    SteadyTime third_crash_at{};  ///< When the third engine ended.
+    std::size_t late_sends = 0;
   };
   void check_budget(const std::string& service, SteadyTime now);
 
   RetryBound bound;
-  std::map<std::string, SentByCaller> requests;
+  std::map<std::string, SentRequest> requests;
   std::map<std::string, std::uint64_t> run_counts;
-  std::map<std::string, bool> promised_not_run;
-  std::map<std::string, AnswerOfEngine> answers_by_seal;
+  std::map<std::string, bool> refused_as_not_run;
+  std::map<std::string, EngineAnswer> answers_by_seal;
   std::map<std::string, std::string> handles;
-  std::map<std::string, std::map<std::uint64_t, std::string>> holders;
-  std::map<std::string, std::uint64_t> seen_arrivals;
-  std::map<std::string, bool> seen_reads;
+  std::map<std::string, std::map<std::uint64_t, std::string>> fence_holders;
+  std::map<std::string, std::uint64_t> arrival_counts;
+  std::map<std::string, bool> prefill_seen;
   std::map<std::string, Arrivals> arrivals;
-  std::map<std::string, Deadly> deadly;
-  std::vector<BrokenPromise> promises;
-  NoticeJudge notices{kUntilNone};
+  std::map<std::string, CrashingRequest> crashing_requests;
+  std::vector<Violation> recorded_violations;
+  NoticeJudge notices{kDrainingGrace};
   LimitJudge limits;
-  std::uint64_t seals = 0;
+  std::uint64_t seal_count = 0;
 };
 
 }  // namespace shuntbank::testing
--- a/tests/platform/support/relay_child.cpp
+++ b/tests/platform/support/relay_child.cpp
@@ -20,18 +20,19 @@
   address.sin_family = AF_INET;
   inet_pton(AF_INET, ip.c_str(), &address.sin_addr);
   socklen_t size = sizeof(address);
-  auto* any = reinterpret_cast<sockaddr*>(&address);
-  const bool bound = ::bind(socket_fd, any, size) == 0 && ::getsockname(socket_fd, any, &size) == 0;
+  auto* generic_address = reinterpret_cast<sockaddr*>(&address);
+  const bool bound = ::bind(socket_fd, generic_address, size) == 0 &&
+                     ::getsockname(socket_fd, generic_address, &size) == 0;
   ::close(socket_fd);
   if (!bound) throw std::runtime_error("no port on " + ip);
   return ntohs(address.sin_port);
 }
 
-RelayChild::RelayChild(std::string relay_program, RelayPlace place, const std::string& folder)
+RelayChild::RelayChild(std::string relay_program, RelayConfig own_config, const std::string& folder)
     : program(std::move(relay_program)),
-      where(std::move(place)),
-      settings_path(folder + "/" + this->where.name + ".conf"),
-      log_path(folder + "/" + this->where.name + ".log") {}
+      relay_config(std::move(own_config)),
+      settings_path(folder + "/" + this->relay_config.name + ".conf"),
+      log_path(folder + "/" + this->relay_config.name + ".log") {}
 
 RelayChild::~RelayChild() {
   if (!this->running()) return;
@@ -39,28 +40,29 @@
   ::waitpid(this->process, nullptr, 0);
 }
 
-std::string RelayChild::callers_address() const {
-  return this->where.ip + ":" + std::to_string(this->where.callers);
+std::string RelayChild::caller_address() const {
+  return this->relay_config.ip + ":" + std::to_string(this->relay_config.caller_port);
 }
 
 std::string RelayChild::ready_address() const {
-  return this->where.ip + ":" + std::to_string(this->where.ready);
+  return this->relay_config.ip + ":" + std::to_string(this->relay_config.ready_port);
 }
 
-void RelayChild::write_settings(bool first) const {
+void RelayChild::write_settings(bool bootstrap) const {
   std::ofstream file(this->settings_path, std::ios::trunc);
-  const std::string& ip = this->where.ip;
-  file << "node=" << this->where.name << "\nzone=" << this->where.zone << "\nip=" << ip
-       << "\nlisten.front=" << this->callers_address() << "\nlisten.ready=" << this->ready_address()
-       << "\nlisten.control=" << ip << ":" << this->where.control
-       << "\nport_range=" << this->where.peers << "," << this->where.peers
-       << "\nbootstrap=" << (first ? "true" : "false")
+  const std::string& ip = this->relay_config.ip;
+  file << "node=" << this->relay_config.name << "\nzone=" << this->relay_config.zone
+       << "\nip=" << ip << "\nlisten.front=" << this->caller_address()
+       << "\nlisten.ready=" << this->ready_address() << "\nlisten.control=" << ip << ":"
+       << this->relay_config.control_port << "\nport_range=" << this->relay_config.peer_port << ","
+       << this->relay_config.peer_port << "\nbootstrap=" << (bootstrap ? "true" : "false")
        << "\nbounds.budget_ratio=0.2\nbounds.budget_window_s=10\nbounds.budget_slack=20"
-       << "\nbounds.grace_s=8\nplatform.addr=" << this->where.store << "\nan.unknown.key=1\n";
+       << "\nbounds.grace_s=8\nplatform.addr=" << this->relay_config.store_address
+       << "\nan.unknown.key=1\n";
 }
 
-void RelayChild::start(bool first) {
-  this->write_settings(first);
+void RelayChild::start(bool bootstrap) {
+  this->write_settings(bootstrap);
   posix_spawn_file_actions_t files;
   posix_spawn_file_actions_init(&files);
   posix_spawn_file_actions_addopen(&files, STDOUT_FILENO, this->log_path.c_str(),
--- a/tests/platform/support/relay_child.hpp
+++ b/tests/platform/support/relay_child.hpp
@@ -10,17 +10,17 @@
 namespace shuntbank::testing {
 
 /// Where one relay listens and what it reaches.
-struct RelayPlace {
+struct RelayConfig {
   std::string name;
   std::string ip;
   std::string zone;
-  std::string store;  ///< IP:PORT
-  std::uint16_t callers = 0;
-  std::uint16_t ready = 0;
-  std::uint16_t control = 0;
-  std::uint16_t peers = 0;
+  std::string store_address;  ///< IP:PORT
+  std::uint16_t caller_port = 0;
+  std::uint16_t ready_port = 0;
+  std::uint16_t control_port = 0;
+  std::uint16_t peer_port = 0;
 
-  bool operator==(const RelayPlace&) const = default;
+  bool operator==(const RelayConfig&) const = default;
 };
 
 /// @return a port that the kernel has just found free on an address.
@@ -30,7 +30,7 @@
 class RelayChild {
  public:
   /// @param folder of the settings file and the log; must exist.
-  RelayChild(std::string program, RelayPlace place, const std::string& folder);
+  RelayChild(std::string program, RelayConfig config, const std::string& folder);
   ~RelayChild();
   RelayChild(const RelayChild&) = delete;
   RelayChild& operator=(const RelayChild&) = delete;
@@ -40,21 +40,21 @@
   const std::string& next_program() const { return this->program; }
 
   /// @param first whether the whole system starts for the first time.
-  void start(bool first);
+  void start(bool bootstrap);
   void send_signal(int signal);
 
   /// @return whether the process runs; reaps it when it has ended.
   bool running();
 
-  const RelayPlace& place() const { return this->where; }
-  std::string callers_address() const;
+  const RelayConfig& config() const { return this->relay_config; }
+  std::string caller_address() const;
   std::string ready_address() const;
 
  private:
-  void write_settings(bool first) const;
+  void write_settings(bool bootstrap) const;
 
   std::string program;
-  RelayPlace where;
+  RelayConfig relay_config;
   std::string settings_path;
   std::string log_path;
   pid_t process = 0;
--- a/tests/platform/support/soak_site.cpp
+++ b/tests/platform/support/soak_site.cpp
@@ -22,35 +22,35 @@
 constexpr double kRetrySlack = 20;
 
 /// Of each piece on a link that is slow.
-constexpr std::chrono::milliseconds kDelay{40};
+constexpr std::chrono::milliseconds kSlowLinkDelay{40};
 
 /// Of a relay or the store, with the time that is left to learn what was missed.
-constexpr std::chrono::seconds kLongestDisturbance{9};
+constexpr std::chrono::seconds kMaxDisturbance{9};
 
 /// Engines that the deadly request may end with all else calm: three, and one more in case that two
 /// tries are under way as the third ends.
-constexpr std::size_t kMostEndedWhenCalm = 4;
+constexpr std::size_t kMaxCrashesUndisturbed = 4;
 
 /// The request that ends engines; the same at each of its comings.
-const std::string kDeadly = "the deadly one";
+const std::string kCrashingRequest = "the deadly one";
 
 /// Routes more in a configuration of storms: with them it takes half a second on a link of that
 /// rate, longer than the pause between two changes.
-constexpr int kRoutesInStorms = 1400;
+constexpr int kStormRoutes = 1400;
 constexpr std::size_t kStormLinkBytesPerSecond = 1'000'000;
 constexpr std::chrono::milliseconds kStormGap{350};
 
 /// Routes that were added stay for so many versions of a storm, to be looked for while it goes on:
 /// for longer than a healed site has to recover.
-constexpr std::uint64_t kAddedKeptInStorms = 120;
+constexpr std::uint64_t kStormRouteVersions = 120;
 
 /// Until a site that was healed must serve again; far longer than it takes.
-constexpr std::chrono::seconds kLongestRecovery{30};
+constexpr std::chrono::seconds kRecoveryTimeout{30};
 
 /// @return the first three parts of the relays' addresses, of this process alone. Ports are drawn
 /// before they are listened on: of two soaks at the same addresses one can draw what the other has
 /// drawn, and its relay never starts.
-std::string own_network() {
+std::string process_network_prefix() {
   constexpr int kNetworks = 254;
   const int process = getpid();
   return "127." + std::to_string(1 + process % kNetworks) + "." +
@@ -83,16 +83,16 @@
 
 }  // namespace
 
-SoakSite::SoakSite(const SoakShape& wanted)
-    : shape(wanted),
-      random(wanted.seed),
+SoakSite::SoakSite(const SoakOptions& own_options)
+    : options(own_options),
+      random(own_options.seed),
       ledger({kRetryRatio, kRetrySlack, 10s}),
       store(this->loop),
       watchdog(this->loop),
-      deadly_random(wanted.seed),
-      storm_random(wanted.seed),
-      words_random(wanted.seed),
-      limits_random(wanted.seed) {
+      crash_random(own_options.seed),
+      storm_random(own_options.seed),
+      notice_random(own_options.seed),
+      limit_random(own_options.seed) {
   this->build_engines();
   this->put_configuration();
   this->build_relays();
@@ -109,31 +109,33 @@
     this->engines.push_back(std::make_unique<EngineStandin>(this->loop, this->store, this->ledger,
                                                             engine, this->random()));
     EngineStandin& made = *this->engines.back();
-    made.on_deadly([this, &made] { this->end_engine(made); }, [this] { return this->calm(); });
+    made.set_crash_handlers([this, &made] { this->crash_and_restart(made); },
+                            [this] { return this->undisturbed(); });
     made.start();
   }
 }
 
 void SoakSite::build_relays() {
-  std::vector<EntryNode> entry;
-  for (std::size_t i = 0; i < this->shape.relays; ++i) {
+  std::vector<NodeEndpoints> entry;
+  for (std::size_t i = 0; i < this->options.relay_count; ++i) {
     this->store_links.push_back(std::make_unique<FaultProxy>(this->loop, this->store.endpoint()));
-    if (this->shape.storms) this->store_links.back()->set_rate_down(kStormLinkBytesPerSecond);
-    RelayPlace place;
-    place.name = "relay-" + std::to_string(i + 1);
-    place.ip = own_network() + std::to_string(i + 1);
-    place.zone = "z" + std::to_string(i % 3);
-    place.store = this->store_links.back()->address();
+    if (this->options.storms) this->store_links.back()->set_rate_down(kStormLinkBytesPerSecond);
+    RelayConfig config;
+    config.name = "relay-" + std::to_string(i + 1);
+    config.ip = process_network_prefix() + std::to_string(i + 1);
+    config.zone = "z" + std::to_string(i % 3);
+    config.store_address = this->store_links.back()->address();
     // The kernel may find the same port free twice, and two of a relay's addresses would clash.
     std::set<std::uint16_t> drawn;
-    for (std::uint16_t* port : {&place.callers, &place.ready, &place.control, &place.peers}) {
+    for (std::uint16_t* port :
+         {&config.caller_port, &config.ready_port, &config.control_port, &config.peer_port}) {
       do {
-        *port = free_port(place.ip);
+        *port = free_port(config.ip);
       } while (!drawn.insert(*port).second);
     }
     this->relays.push_back(
-        std::make_unique<RelayChild>(this->shape.program, place, this->shape.folder));
-    entry.push_back({this->relays.back()->callers_address(), this->relays.back()->ready_address()});
+        std::make_unique<RelayChild>(this->options.program, config, this->options.folder));
+    entry.push_back({this->relays.back()->caller_address(), this->relays.back()->ready_address()});
   }
   this->callers = std::make_unique<Callers>(this->loop, this->ledger, entry, this->random());
 }
@@ -143,12 +145,12 @@
   json routes = json::array(
       {route("/stream/", "stream", "model", true), route("/ask/", "stream", "model", false),
        route("/once/", "unsafe", "plain", false), route("/safe/", "safe", "plain", false)});
-  for (int i = 0; this->shape.storms && i < kRoutesInStorms; ++i) {
+  for (int i = 0; this->options.storms && i < kStormRoutes; ++i) {
     const std::string filler = "/filler" + std::to_string(i) + "/";
     routes.push_back(route(filler.c_str(), "safe", "plain", false));
   }
-  const std::uint64_t kept = this->shape.storms ? kAddedKeptInStorms : 1;
-  for (std::uint64_t at = this->version; at > 0 && at + kept > this->version; --at) {
+  const std::uint64_t versions = this->options.storms ? kStormRouteVersions : 1;
+  for (std::uint64_t at = this->version; at > 0 && at + versions > this->version; --at) {
     const std::string added = "/added" + std::to_string(at) + "/";
     routes.push_back(route(added.c_str(), "safe", "plain", false));
   }
@@ -161,8 +163,8 @@
 }
 
 bool SoakSite::wait_until(const std::function<bool()>& condition,
-                          std::chrono::milliseconds longest) {
-  const auto end = std::chrono::steady_clock::now() + longest;
+                          std::chrono::milliseconds timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() >= end) return false;
     this->loop.run_for(10ms);
@@ -174,26 +176,26 @@
 bool SoakSite::all_ready() const {
   const auto& nodes = this->callers->nodes();
   return std::all_of(nodes.begin(), nodes.end(),
-                     [](const EntryNode& node) { return node.misses == 0; });
+                     [](const NodeEndpoints& node) { return node.failed_checks == 0; });
 }
 
 /// A process that has ended starts again after a short while, as on the platform.
 void SoakSite::keep_relays_running() {
   for (const auto& relay : this->relays) {
     if (relay->running()) continue;
-    this->ledger.node_disturbed(relay->callers_address());
-    const bool other = relay->next_program() == this->shape.other_program;
-    this->ledger.set_unaware_of_limits(relay->callers_address(), other);
-    relay->start(this->first);
+    this->ledger.node_disturbed(relay->caller_address());
+    const bool previous = relay->next_program() == this->options.previous_program;
+    this->ledger.set_unaware_of_limits(relay->caller_address(), previous);
+    relay->start(this->bootstrap);
   }
-  this->first = false;
+  this->bootstrap = false;
   this->watchdog.expires_after(300ms);
   this->watchdog.async_wait([this](const std::error_code& error) {
     if (!error) this->keep_relays_running();
   });
 }
 
-void SoakSite::later(std::chrono::milliseconds delay, std::function<void()> action) {
+void SoakSite::schedule(std::chrono::milliseconds delay, std::function<void()> action) {
   auto timer = std::make_shared<asio::steady_timer>(this->loop, delay);
   timer->async_wait([timer, action = std::move(action)](const std::error_code& error) {
     if (!error) action();
@@ -203,243 +205,243 @@
 
 void SoakSite::run() {
   this->keep_relays_running();
-  this->callers->start(this->shape.callers);
-  if (!this->wait_until([this] { return this->all_ready(); }, kLongestRecovery)) {
-    this->ledger.broke("RECOVER", "not all relays became ready at the start");
+  this->callers->start(this->options.caller_count);
+  if (!this->wait_until([this] { return this->all_ready(); }, kRecoveryTimeout)) {
+    this->ledger.add_violation("RECOVER", "not all relays became ready at the start");
   }
-  if (this->shape.deadly) this->deadly_comes();
-  if (this->shape.storms) this->storm_comes();
-  if (this->shape.words) this->words_come();
-  if (this->shape.limits) this->limits_come();
-  if (!this->shape.other_program.empty()) this->upgrade_next();
+  if (this->options.crashing_requests) this->send_crashing_requests();
+  if (this->options.storms) this->start_storm();
+  if (this->options.engine_notices) this->inject_notice_faults();
+  if (this->options.engine_limits) this->inject_limit_changes();
+  if (!this->options.previous_program.empty()) this->upgrade_next();
   this->wait(2s);
-  const auto end = std::chrono::steady_clock::now() + this->shape.faults_for;
+  const auto end = std::chrono::steady_clock::now() + this->options.fault_duration;
   while (std::chrono::steady_clock::now() < end) {
-    this->do_fault();
+    this->inject_fault();
     this->wait(std::chrono::milliseconds(300 + this->draw(1500)));
   }
   this->heal();
-  if (this->shape.deadly) this->check_deadly();
+  if (this->options.crashing_requests) this->check_crashing_request();
   this->check_recovery();
   this->callers->stop();
-  this->wait_until([this] { return this->callers->under_way() == 0; }, 6s);
+  this->wait_until([this] { return this->callers->in_flight() == 0; }, 6s);
 }
 
-void SoakSite::do_fault() {
+void SoakSite::inject_fault() {
   const std::uint64_t kind = this->draw(24);
   // Relays and the store are disturbed by the first kinds, for at most so long.
-  if (kind < 15) this->disturbed_until = std::chrono::steady_clock::now() + kLongestDisturbance;
-  if (kind < 8) return this->relay_fault(kind);
-  if (kind < 15) return this->store_fault(kind - 8);
-  if (kind < 23) return this->engine_fault(kind - 15);
-  this->note("configuration");
+  if (kind < 15) this->disturbed_until = std::chrono::steady_clock::now() + kMaxDisturbance;
+  if (kind < 8) return this->inject_relay_fault(kind);
+  if (kind < 15) return this->inject_store_fault(kind - 8);
+  if (kind < 23) return this->inject_engine_fault(kind - 15);
+  this->log_fault("configuration");
   this->put_configuration();
 }
 
-void SoakSite::relay_fault(std::uint64_t kind) {
+void SoakSite::inject_relay_fault(std::uint64_t kind) {
   RelayChild& relay = *this->relays[this->draw(this->relays.size())];
-  const std::string name = relay.place().name;
+  const std::string name = relay.config().name;
   const std::chrono::milliseconds duration(300 + this->draw(3500));
   switch (kind) {
     case 0:
     case 1:
-      this->note("kill " + name);
-      this->ledger.node_disturbed(relay.callers_address());
+      this->log_fault("kill " + name);
+      this->ledger.node_disturbed(relay.caller_address());
       return relay.send_signal(SIGKILL);
     case 2:
     case 3:
-      this->note("pause " + name + " for " + std::to_string(duration.count()) + " ms");
+      this->log_fault("pause " + name + " for " + std::to_string(duration.count()) + " ms");
       relay.send_signal(SIGSTOP);
-      return this->later(duration, [this, &relay] {
-        this->ledger.node_disturbed(relay.callers_address());
+      return this->schedule(duration, [this, &relay] {
+        this->ledger.node_disturbed(relay.caller_address());
         relay.send_signal(SIGCONT);
       });
     case 4:
-      this->note("stop " + name);
-      this->ledger.node_disturbed(relay.callers_address());
+      this->log_fault("stop " + name);
+      this->ledger.node_disturbed(relay.caller_address());
       return relay.send_signal(SIGTERM);
     case 5:
-      this->note("reload " + name);
+      this->log_fault("reload " + name);
       return relay.send_signal(SIGHUP);
     case 6:
-      this->note("kill all relays");
+      this->log_fault("kill all relays");
       for (const auto& each : this->relays) {
-        this->ledger.node_disturbed(each->callers_address());
+        this->ledger.node_disturbed(each->caller_address());
         each->send_signal(SIGKILL);
       }
       return;
     default:
-      this->note("callers leave early");
-      this->callers->set_leaving(0.3);
-      return this->later(duration, [this] { this->callers->set_leaving(0.02); });
+      this->log_fault("callers leave early");
+      this->callers->set_cancel_share(0.3);
+      return this->schedule(duration, [this] { this->callers->set_cancel_share(0.02); });
   }
 }
 
-void SoakSite::store_fault(std::uint64_t kind) {
+void SoakSite::inject_store_fault(std::uint64_t kind) {
   const std::chrono::milliseconds duration(500 + this->draw(4000));
   const std::string length = " for " + std::to_string(duration.count()) + " ms";
   FaultProxy& link = *this->store_links[this->draw(this->store_links.size())];
-  const auto whole_store = [&](StoreFault fault, const char* name) {
-    this->note(std::string("store ") + name + length);
+  const auto set_store_fault = [&](StoreFault fault, const char* name) {
+    this->log_fault(std::string("store ") + name + length);
     this->store.set_fault(fault);
-    this->later(duration, [this] { this->store.set_fault(StoreFault::kNone); });
+    this->schedule(duration, [this] { this->store.set_fault(StoreFault::kNone); });
   };
   switch (kind) {
     case 0:
-      return whole_store(StoreFault::kBusy, "busy");
+      return set_store_fault(StoreFault::kBusy, "busy");
     case 1:
-      return whole_store(StoreFault::kSilent, "silent");
+      return set_store_fault(StoreFault::kSilent, "silent");
     case 2:
-      return whole_store(StoreFault::kResetting, "resetting");
+      return set_store_fault(StoreFault::kResetting, "resetting");
     case 3:
-      return whole_store(StoreFault::kLosingWrites, "losing answers to writes");
+      return set_store_fault(StoreFault::kLosingWrites, "losing answers to writes");
     case 4:
-      this->note("store forgets its history");
-      return this->store.forget_history();
+      this->log_fault("store forgets its history");
+      return this->store.drop_history();
     case 5: {
       const bool up = this->draw(3) != 0;
       const bool down = !up || this->draw(2) == 0;
-      this->note("a relay cut from the store" + length);
+      this->log_fault("a relay cut from the store" + length);
       link.set({up, down, false, 0ms});
-      return this->later(duration, [&link] { link.set({}); });
+      return this->schedule(duration, [&link] { link.set({}); });
     }
     default:
-      this->note("a relay refused by the store" + length);
+      this->log_fault("a relay refused by the store" + length);
       link.set({false, false, true, 0ms});
       link.reset_all();
-      return this->later(duration, [&link] { link.set({}); });
+      return this->schedule(duration, [&link] { link.set({}); });
   }
 }
 
-void SoakSite::engine_fault(std::uint64_t kind) {
+void SoakSite::inject_engine_fault(std::uint64_t kind) {
   const std::size_t index = this->draw(this->engines.size());
   EngineStandin& engine = *this->engines[index];
   if (!engine.running()) return;
   const std::string name = "engine " + std::to_string(index);
   const std::chrono::milliseconds duration(500 + this->draw(3000));
-  const auto misbehaves = [&](EngineFault fault, const char* how, double share) {
-    this->note(name + how);
+  const auto set_engine_fault = [&](EngineFault fault, const char* how, double share) {
+    this->log_fault(name + how);
     engine.set_fault(fault, share);
-    this->later(duration, [&engine] { engine.set_fault(EngineFault::kNone, 0); });
+    this->schedule(duration, [&engine] { engine.set_fault(EngineFault::kNone, 0); });
   };
   switch (kind) {
     case 0:
-      this->note(name + " crashes");
+      this->log_fault(name + " crashes");
       engine.crash(std::chrono::milliseconds(this->draw(3000)));
-      return this->later(duration + 1s, [&engine] {
+      return this->schedule(duration + 1s, [&engine] {
         if (!engine.running()) engine.start();
       });
     case 1:
-      this->note(name + " drains");
+      this->log_fault(name + " drains");
       engine.drain(2500ms);
-      return this->later(5s, [&engine] {
+      return this->schedule(5s, [&engine] {
         if (!engine.running()) engine.start();
       });
     case 2:
-      return misbehaves(EngineFault::kErrors, " fails", 0.5);
+      return set_engine_fault(EngineFault::kErrors, " fails", 0.5);
     case 3:
-      return misbehaves(EngineFault::kSheds, " sheds", 0.5);
+      return set_engine_fault(EngineFault::kSheds, " sheds", 0.5);
     case 4:
-      return misbehaves(EngineFault::kHangs, " hangs", 0.3);
+      return set_engine_fault(EngineFault::kHangs, " hangs", 0.3);
     case 5:
-      return misbehaves(EngineFault::kLosesAnswers, " loses answers", 0.4);
+      return set_engine_fault(EngineFault::kLosesAnswers, " loses answers", 0.4);
     case 6:
-      this->note(name + " slow, its link reset and delayed from then on");
+      this->log_fault(name + " slow, its link reset and delayed from then on");
       engine.set_slowness(6);
       engine.link_disturbed();
       engine.link().reset_all();
-      engine.link().set({false, false, false, kDelay});
-      return this->later(duration, [&engine] {
+      engine.link().set({false, false, false, kSlowLinkDelay});
+      return this->schedule(duration, [&engine] {
         engine.set_slowness(1);
         engine.link().set({});
       });
     default:
-      this->note(name + " silent");
+      this->log_fault(name + " silent");
       engine.link().set({true, this->draw(2) == 0, false, 0ms});
-      return this->later(duration, [&engine] {
+      return this->schedule(duration, [&engine] {
         engine.link_disturbed();
         engine.link().set({});
       });
   }
 }
 
-void SoakSite::deadly_comes() {
+void SoakSite::send_crashing_requests() {
   if (this->healed) return;
-  this->note("the deadly request comes");
-  this->callers->send_deadly(kDeadly);
-  this->later(std::chrono::milliseconds(300 + this->deadly_random() % 3000),
-              [this] { this->deadly_comes(); });
+  this->log_fault("the deadly request comes");
+  this->callers->send_crashing_request(kCrashingRequest);
+  this->schedule(std::chrono::milliseconds(300 + this->crash_random() % 3000),
+                 [this] { this->send_crashing_requests(); });
 }
 
 /// Goes on when all is healed: a node that is behind must catch up while changes come.
-void SoakSite::storm_comes() {
+void SoakSite::start_storm() {
   const std::uint64_t changes = 3 + this->storm_random() % 10;
-  this->note("a storm of " + std::to_string(changes) + " configurations");
-  this->change_in_storm(changes);
+  this->log_fault("a storm of " + std::to_string(changes) + " configurations");
+  this->run_storm(changes);
 }
 
-void SoakSite::change_in_storm(std::uint64_t left) {
+void SoakSite::run_storm(std::uint64_t left) {
   this->put_configuration();
-  if (left > 1) return this->later(kStormGap, [this, left] { this->change_in_storm(left - 1); });
+  if (left > 1) return this->schedule(kStormGap, [this, left] { this->run_storm(left - 1); });
   const std::chrono::milliseconds pause(200 + this->storm_random() % 3000);
-  this->later(pause, [this] { this->storm_comes(); });
+  this->schedule(pause, [this] { this->start_storm(); });
 }
 
-void SoakSite::words_come() {
+void SoakSite::inject_notice_faults() {
   if (this->healed) return;
-  const std::chrono::milliseconds duration(1000 + this->words_random() % 4000);
-  const std::size_t index = this->words_random() % this->engines.size();
+  const std::chrono::milliseconds duration(1000 + this->notice_random() % 4000);
+  const std::size_t index = this->notice_random() % this->engines.size();
   EngineStandin& engine = *this->engines[index];
-  const std::uint64_t kind = this->words_random() % 4;
-  if (kind == 0) this->half_turn_away(duration);
+  const std::uint64_t kind = this->notice_random() % 4;
+  if (kind == 0) this->shed_at_half_the_engines(duration);
   if (kind == 1 && engine.running()) {
-    this->note("the entry of engine " + std::to_string(index) + " lapses");
-    engine.lapse(duration);
+    this->log_fault("the entry of engine " + std::to_string(index) + " lapses");
+    engine.lapse_registration(duration);
   }
   if (kind > 1 && engine.running()) {
-    this->note("engine " + std::to_string(index) + " leaves while the store is silent");
-    this->leave_while_the_store_is_silent(engine);
+    this->log_fault("engine " + std::to_string(index) + " leaves while the store is silent");
+    this->drain_during_store_outage(engine);
   }
-  this->later(duration, [this] { this->words_come(); });
+  this->schedule(duration, [this] { this->inject_notice_faults(); });
 }
 
 /// Half of the time a figure changes in steps; at last it goes, or stays until the engine starts
 /// anew.
-void SoakSite::limits_come() {
+void SoakSite::inject_limit_changes() {
   if (this->healed) return;
-  constexpr double kFigures[] = {0, 0.5, 1.3, 5, 20, 50};
-  const double a_second = kFigures[this->limits_random() % std::size(kFigures)];
-  const std::uint64_t kind = this->limits_random() % 4;
-  const std::size_t index = this->limits_random() % this->engines.size();
+  constexpr double kLimits[] = {0, 0.5, 1.3, 5, 20, 50};
+  const double limit = kLimits[this->limit_random() % std::size(kLimits)];
+  const std::uint64_t kind = this->limit_random() % 4;
+  const std::size_t index = this->limit_random() % this->engines.size();
   if (kind == 0) {
-    this->note("half of the engines take " + std::to_string(a_second) + " a second");
-    for (std::size_t i = 0; i < this->engines.size(); i += 2) this->change_limit(i, a_second, 0, 1);
+    this->log_fault("half of the engines take " + std::to_string(limit) + " a second");
+    for (std::size_t i = 0; i < this->engines.size(); i += 2) this->change_limit(i, limit, 0, 1);
   } else {
     const double factor = kind == 1 ? 1 : kind == 2 ? 0.5 : 2;
-    this->note("engine " + std::to_string(index) + " takes " + std::to_string(a_second) +
-               " a second, from then on times " + std::to_string(factor));
-    this->change_limit(index, a_second, kind == 1 ? 0 : 4, factor);
+    this->log_fault("engine " + std::to_string(index) + " takes " + std::to_string(limit) +
+                    " a second, from then on times " + std::to_string(factor));
+    this->change_limit(index, limit, kind == 1 ? 0 : 4, factor);
   }
-  if (this->limits_random() % 4 == 0) {
-    this->disturbed_until = std::chrono::steady_clock::now() + kLongestDisturbance;
+  if (this->limit_random() % 4 == 0) {
+    this->disturbed_until = std::chrono::steady_clock::now() + kMaxDisturbance;
     this->store.set_fault(StoreFault::kSilent);
-    this->later(4s, [this] { this->store.set_fault(StoreFault::kNone); });
+    this->schedule(4s, [this] { this->store.set_fault(StoreFault::kNone); });
   }
-  this->later(std::chrono::milliseconds(1000 + this->limits_random() % 4000),
-              [this] { this->limits_come(); });
+  this->schedule(std::chrono::milliseconds(1000 + this->limit_random() % 4000),
+                 [this] { this->inject_limit_changes(); });
 }
 
-void SoakSite::change_limit(std::size_t index, double a_second, int steps, double factor) {
+void SoakSite::change_limit(std::size_t index, double per_second, int steps, double factor) {
   EngineStandin& engine = *this->engines[index];
-  engine.name_limit(a_second);
-  const std::chrono::milliseconds pause(500 + this->limits_random() % 3000);
+  engine.set_limit(per_second);
+  const std::chrono::milliseconds pause(500 + this->limit_random() % 3000);
   if (steps > 0) {
-    return this->later(pause, [this, index, a_second, steps, factor] {
-      this->change_limit(index, a_second * factor, steps - 1, factor);
+    return this->schedule(pause, [this, index, per_second, steps, factor] {
+      this->change_limit(index, per_second * factor, steps - 1, factor);
     });
   }
-  if (this->limits_random() % 3 == 0) return;
-  this->later(pause + 5s, [&engine] { engine.name_limit({}); });
+  if (this->limit_random() % 3 == 0) return;
+  this->schedule(pause + 5s, [&engine] { engine.set_limit({}); });
 }
 
 /// Goes through the nodes, and then back to the program before.
@@ -447,64 +449,67 @@
   if (this->healed) return;
   const std::size_t count = this->relays.size();
   RelayChild& relay = *this->relays[this->upgrades % count];
-  const bool to_other = this->upgrades / count % 2 == 0;
+  const bool to_previous = this->upgrades / count % 2 == 0;
   ++this->upgrades;
-  this->note((to_other ? "other program at " : "program at ") + relay.place().name);
-  relay.set_program(to_other ? this->shape.other_program : this->shape.program);
-  this->ledger.node_disturbed(relay.callers_address());
+  this->log_fault((to_previous ? "other program at " : "program at ") + relay.config().name);
+  relay.set_program(to_previous ? this->options.previous_program : this->options.program);
+  this->ledger.node_disturbed(relay.caller_address());
   relay.send_signal(SIGTERM);
-  const std::chrono::milliseconds each = this->shape.faults_for / (2 * static_cast<int>(count));
-  this->later(each, [this] { this->upgrade_next(); });
+  const std::chrono::milliseconds interval =
+      this->options.fault_duration / (2 * static_cast<int>(count));
+  this->schedule(interval, [this] { this->upgrade_next(); });
 }
 
 /// It serves on for a while after the store has taken its word.
-void SoakSite::leave_while_the_store_is_silent(EngineStandin& engine) {
-  constexpr std::chrono::milliseconds kSilence{7000};
-  constexpr std::chrono::milliseconds kServesOn{2500};
-  this->disturbed_until = std::chrono::steady_clock::now() + kLongestDisturbance;
+void SoakSite::drain_during_store_outage(EngineStandin& engine) {
+  constexpr std::chrono::milliseconds kOutage{7000};
+  constexpr std::chrono::milliseconds kServeAfterOutage{2500};
+  this->disturbed_until = std::chrono::steady_clock::now() + kMaxDisturbance;
   this->store.set_fault(StoreFault::kSilent);
-  this->later(kSilence, [this] { this->store.set_fault(StoreFault::kNone); });
-  engine.drain(kSilence + kServesOn);
-  this->later(kSilence + kServesOn + 1s, [&engine] {
+  this->schedule(kOutage, [this] { this->store.set_fault(StoreFault::kNone); });
+  engine.drain(kOutage + kServeAfterOutage);
+  this->schedule(kOutage + kServeAfterOutage + 1s, [&engine] {
     if (!engine.running()) engine.start();
   });
 }
 
 /// The second half of the engines stays: of each service some.
-void SoakSite::half_turn_away(std::chrono::milliseconds duration) {
-  this->note("half of the engines turn all away for " + std::to_string(duration.count()) + " ms");
+void SoakSite::shed_at_half_the_engines(std::chrono::milliseconds duration) {
+  this->log_fault("half of the engines turn all away for " + std::to_string(duration.count()) +
+                  " ms");
   for (std::size_t i = 0; i < this->engines.size(); i += 2) {
     EngineStandin& engine = *this->engines[i];
     engine.set_fault(EngineFault::kSheds, 1);
-    this->later(duration, [&engine] { engine.set_fault(EngineFault::kNone, 0); });
+    this->schedule(duration, [&engine] { engine.set_fault(EngineFault::kNone, 0); });
   }
 }
 
 /// Its entry goes after a while, and it is back within two seconds at the same address.
-void SoakSite::end_engine(EngineStandin& engine) {
-  engine.crash(std::chrono::milliseconds(this->deadly_random() % 3000));
-  this->later(std::chrono::milliseconds(800 + this->deadly_random() % 1200), [&engine] {
+void SoakSite::crash_and_restart(EngineStandin& engine) {
+  engine.crash(std::chrono::milliseconds(this->crash_random() % 3000));
+  this->schedule(std::chrono::milliseconds(800 + this->crash_random() % 1200), [&engine] {
     if (!engine.running()) engine.start();
   });
 }
 
-bool SoakSite::calm() const {
+bool SoakSite::undisturbed() const {
   return std::chrono::steady_clock::now() >= this->disturbed_until;
 }
 
 /// With all healed it comes often, at any node. Engines may end until it is known; from then on it
 /// reaches none.
-void SoakSite::check_deadly() {
-  constexpr int kComings = 30;
-  const std::size_t before = this->ledger.ended_under(kDeadly);
+void SoakSite::check_crashing_request() {
+  constexpr int kAttempts = 30;
+  const std::size_t before = this->ledger.crash_count(kCrashingRequest);
   this->disturbed_until = {};
-  for (int i = 0; i < kComings; ++i) {
-    this->callers->send_deadly(kDeadly);
+  for (int i = 0; i < kAttempts; ++i) {
+    this->callers->send_crashing_request(kCrashingRequest);
     this->wait(250ms);
   }
-  const std::size_t ended = this->ledger.ended_under(kDeadly) - before;
-  if (ended > kMostEndedWhenCalm) {
-    this->ledger.broke("CRASHING", std::to_string(ended) + " engines ended with all else calm");
+  const std::size_t crashes = this->ledger.crash_count(kCrashingRequest) - before;
+  if (crashes > kMaxCrashesUndisturbed) {
+    this->ledger.add_violation("CRASHING",
+                               std::to_string(crashes) + " engines ended with all else calm");
   }
 }
 
@@ -515,17 +520,17 @@
   this->store.set_fault(StoreFault::kNone);
   for (const auto& link : this->store_links) link->set({});
   for (const auto& relay : this->relays) {
-    this->ledger.node_disturbed(relay->callers_address());
+    this->ledger.node_disturbed(relay->caller_address());
     relay->send_signal(SIGCONT);
   }
   for (const auto& engine : this->engines) {
     engine->link_disturbed();
     engine->set_fault(EngineFault::kNone, 0);
     engine->set_slowness(1);
-    engine->name_limit({});
+    engine->set_limit({});
     engine->link().set({});
   }
-  this->callers->set_leaving(0);
+  this->callers->set_cancel_share(0);
   // Engines that drain end first; all are there again after that.
   this->wait(6s);
   for (const auto& engine : this->engines) {
@@ -536,45 +541,45 @@
 /// Waits for what must come true rather than for a time, so that a slow machine gives the same
 /// verdict.
 void SoakSite::check_recovery() {
-  if (!this->wait_until([this] { return this->all_ready(); }, kLongestRecovery)) {
-    this->ledger.broke("RECOVER", "not all relays are ready after all is healed");
+  if (!this->wait_until([this] { return this->all_ready(); }, kRecoveryTimeout)) {
+    this->ledger.add_violation("RECOVER", "not all relays are ready after all is healed");
   }
-  const auto end = std::chrono::steady_clock::now() + kLongestRecovery;
-  while (!this->served_in_a_stretch()) {
+  const auto end = std::chrono::steady_clock::now() + kRecoveryTimeout;
+  while (!this->serves_normally()) {
     if (std::chrono::steady_clock::now() < end) continue;
-    this->ledger.broke("RECOVER", "calm again, and never a stretch served well");
+    this->ledger.add_violation("RECOVER", "calm again, and never a stretch served well");
     break;
   }
   this->check_configuration();
 }
 
 /// @return whether nearly all of the requests that end in the next stretch are whole.
-bool SoakSite::served_in_a_stretch() {
+bool SoakSite::serves_normally() {
   const CallerCounts before = this->counts();
   this->wait(2s);
   const CallerCounts& after = this->counts();
-  const auto whole = static_cast<double>(after.whole - before.whole);
-  const auto rest = static_cast<double>(after.refused - before.refused) +
-                    static_cast<double>(after.failed - before.failed);
-  return whole >= 50 && rest <= whole * 0.02;
+  const auto completed = static_cast<double>(after.completed - before.completed);
+  const auto unsuccessful = static_cast<double>(after.refused - before.refused) +
+                            static_cast<double>(after.failed - before.failed);
+  return completed >= 50 && unsuccessful <= completed * 0.02;
 }
 
 /// A route that is added now is served by every relay in the end.
 void SoakSite::check_configuration() {
   this->put_configuration();
   const std::string target = "/added" + std::to_string(this->version) + "/";
-  auto served = std::make_shared<std::map<std::string, bool>>();
-  const auto all_serve = [&] { return served->size() == this->shape.relays; };
-  const auto end = std::chrono::steady_clock::now() + kLongestRecovery;
+  auto serving = std::make_shared<std::map<std::string, bool>>();
+  const auto all_serve = [&] { return serving->size() == this->options.relay_count; };
+  const auto end = std::chrono::steady_clock::now() + kRecoveryTimeout;
   while (!all_serve() && std::chrono::steady_clock::now() < end) {
-    for (const EntryNode& node : this->callers->nodes()) {
-      this->callers->probe(node, target, [served, name = node.callers](int status) {
-        if (status == 200) (*served)[name] = true;
+    for (const NodeEndpoints& node : this->callers->nodes()) {
+      this->callers->probe(node, target, [serving, name = node.caller_address](int status) {
+        if (status == 200) (*serving)[name] = true;
       });
     }
     this->wait_until(all_serve, 500ms);
   }
-  if (!all_serve()) this->ledger.broke("CONFIG", target + " is not served by every relay");
+  if (!all_serve()) this->ledger.add_violation("CONFIG", target + " is not served by every relay");
 }
 
 }  // namespace shuntbank::testing
--- a/tests/platform/support/soak_site.hpp
+++ b/tests/platform/support/soak_site.hpp
@@ -20,30 +20,31 @@
 namespace shuntbank::testing {
 
 /// What a soak runs.
-struct SoakShape {
+struct SoakOptions {
   std::string program;  ///< Of the relay.
   std::string folder;   ///< For settings and logs.
   std::uint64_t seed = 1;
-  std::chrono::seconds faults_for{30};
-  std::size_t relays = 5;
-  std::size_t callers = 40;
-  bool deadly = false;  ///< A request comes again and again that ends each engine that runs it.
+  std::chrono::seconds fault_duration{30};
+  std::size_t relay_count = 5;
+  std::size_t caller_count = 40;
+  bool crashing_requests =
+      false;            ///< A request comes again and again that ends each engine that runs it.
   bool storms = false;  ///< Large configurations in quick succession, over slow links to the store.
   /// Engines leave while the store is silent, turn all away by halves, and lose their entries.
-  bool words = false;
+  bool engine_notices = false;
   /// Engines name how many requests a second they take: steady, falling, rising, none, by halves.
-  bool limits = false;
+  bool engine_limits = false;
   /// Of an earlier version, for which nodes are replaced one after the other, and back; may be
   /// empty. Its nodes are not held to limits.
-  std::string other_program;
+  std::string previous_program;
 
-  bool operator==(const SoakShape&) const = default;
+  bool operator==(const SoakOptions&) const = default;
 };
 
 /// One run. All of it, but for the relays, is one loop on one thread.
 class SoakSite {
  public:
-  explicit SoakSite(const SoakShape& shape);
+  explicit SoakSite(const SoakOptions& options);
   ~SoakSite();
 
   /// Runs the faults that the seed draws, then heals all and checks that the site recovers.
@@ -51,43 +52,43 @@
 
   const Ledger& result() const { return this->ledger; }
   const CallerCounts& counts() const { return this->callers->counts(); }
-  const std::vector<std::string>& faults() const { return this->done; }
+  const std::vector<std::string>& faults() const { return this->fault_log; }
 
  private:
   void build_engines();
   void build_relays();
   void put_configuration();
   void wait(std::chrono::milliseconds duration);
-  bool wait_until(const std::function<bool()>& condition, std::chrono::milliseconds longest);
+  bool wait_until(const std::function<bool()>& condition, std::chrono::milliseconds timeout);
   bool all_ready() const;
   void keep_relays_running();
-  void later(std::chrono::milliseconds delay, std::function<void()> action);
+  void schedule(std::chrono::milliseconds delay, std::function<void()> action);
 
-  void do_fault();
-  void relay_fault(std::uint64_t kind);
-  void store_fault(std::uint64_t kind);
-  void engine_fault(std::uint64_t kind);
-  void deadly_comes();
-  void storm_comes();
-  void change_in_storm(std::uint64_t left);
-  void words_come();
-  void limits_come();
-  void change_limit(std::size_t index, double a_second, int steps, double factor);
+  void inject_fault();
+  void inject_relay_fault(std::uint64_t kind);
+  void inject_store_fault(std::uint64_t kind);
+  void inject_engine_fault(std::uint64_t kind);
+  void send_crashing_requests();
+  void start_storm();
+  void run_storm(std::uint64_t left);
+  void inject_notice_faults();
+  void inject_limit_changes();
+  void change_limit(std::size_t index, double per_second, int steps, double factor);
   void upgrade_next();
-  void leave_while_the_store_is_silent(EngineStandin& engine);
-  void half_turn_away(std::chrono::milliseconds duration);
-  void end_engine(EngineStandin& engine);
-  bool calm() const;
-  void check_deadly();
+  void drain_during_store_outage(EngineStandin& engine);
+  void shed_at_half_the_engines(std::chrono::milliseconds duration);
+  void crash_and_restart(EngineStandin& engine);
+  bool undisturbed() const;
+  void check_crashing_request();
   void heal();
   void check_recovery();
-  bool served_in_a_stretch();
+  bool serves_normally();
   void check_configuration();
   std::uint64_t draw(std::uint64_t below) { return this->random() % below; }
-  void note(const std::string& fault) { this->done.push_back(fault); }
+  void log_fault(const std::string& fault) { this->fault_log.push_back(fault); }
 
   asio::io_context loop;
-  SoakShape shape;
+  SoakOptions options;
   std::mt19937_64 random;
   Ledger ledger;
   StoreStandin store;
@@ -97,13 +98,13 @@
   std::unique_ptr<Callers> callers;
   std::vector<std::shared_ptr<asio::steady_timer>> timers;
   asio::steady_timer watchdog;
-  std::vector<std::string> done;
+  std::vector<std::string> fault_log;
   std::uint64_t version = 0;
-  bool first = true;
-  std::mt19937_64 deadly_random;  ///< Of its own: the other faults of a seed stay as they are.
+  bool bootstrap = true;
+  std::mt19937_64 crash_random;   ///< Of its own: the other faults of a seed stay as they are.
   std::mt19937_64 storm_random;   ///< The same.
-  std::mt19937_64 words_random;   ///< The same.
-  std::mt19937_64 limits_random;  ///< The same.
+  std::mt19937_64 notice_random;  ///< The same.
+  std::mt19937_64 limit_random;   ///< The same.
   std::size_t upgrades = 0;
   std::chrono::steady_clock::time_point disturbed_until{};  ///< A relay or the store.
   bool healed = false;
--- a/tests/platform/support/store_standin.cpp
+++ b/tests/platform/support/store_standin.cpp
@@ -19,7 +19,7 @@
   responder->respond(std::move(reply));
 }
 
-std::uint64_t number(const std::string& text) {
+std::uint64_t parse_number(const std::string& text) {
   return text.empty() ? 0 : std::stoull(text);
 }
 
@@ -38,24 +38,24 @@
 
 void StoreStandin::set_fault(StoreFault wanted) {
   this->fault = wanted;
-  for (const Responder& responder : std::exchange(this->held, {})) responder->abort();
-  const bool cuts = wanted == StoreFault::kBusy || wanted == StoreFault::kResetting;
-  if (!cuts) return;
+  for (const Responder& responder : std::exchange(this->unanswered, {})) responder->abort();
+  const bool closes_watches = wanted == StoreFault::kBusy || wanted == StoreFault::kResetting;
+  if (!closes_watches) return;
   for (Watch& watch : this->watches) {
     if (std::exchange(watch.open, false)) watch.responder->abort();
   }
 }
 
-void StoreStandin::forget_history() {
+void StoreStandin::drop_history() {
   this->history.clear();
-  this->oldest = this->revision + 1;
+  this->oldest_watchable = this->revision + 1;
 }
 
 void StoreStandin::handle(const HttpRequest& request, const Responder& responder) {
   if (this->fault == StoreFault::kBusy) return reply(responder, 503, {});
   if (this->fault == StoreFault::kResetting) return responder->abort();
   if (this->fault == StoreFault::kSilent) {
-    this->held.push_back(responder);
+    this->unanswered.push_back(responder);
     return;
   }
   if (request.path.rfind(kPrefix, 0) != 0) return reply(responder, 404, {});
@@ -64,7 +64,7 @@
   const std::string kind = rest.substr(0, slash);
   const std::string name = slash == std::string::npos ? "" : rest.substr(slash + 1);
   const json body = json::parse(request.body, nullptr, false);
-  if (request.method == "POST") return this->make(kind, body, responder);
+  if (request.method == "POST") return this->create(kind, body, responder);
   if (request.method == "PUT") return this->replace(kind, name, body, responder);
   if (!request.query_value("watch").empty()) return this->watch(kind, request, responder);
   if (name.empty()) return this->list(kind, request, responder);
@@ -80,36 +80,37 @@
   const auto& objects = this->kinds[kind];
   auto next = objects.upper_bound(request.query_value("after"));
   // What has changed since is left out of an old answer; a watch from there brings it.
-  const std::uint64_t visible = this->visible_to(request);
+  const std::uint64_t visible = this->visible_revision(request);
   for (; next != objects.end() && items.size() < kPage; ++next) {
     if (next->second.at("meta").at("revision") <= visible) items.push_back(next->second);
   }
   reply(responder, 200, {{"items", items}, {"more", next != objects.end()}, {"at", visible}});
 }
 
-std::uint64_t StoreStandin::visible_to(const HttpRequest& request) const {
+std::uint64_t StoreStandin::visible_revision(const HttpRequest& request) const {
   if (request.query_value("stale").empty()) return this->revision;
-  return this->lagging_revision();
+  return this->stale_revision();
 }
 
-std::uint64_t StoreStandin::lagging_revision() const {
-  const auto horizon = std::chrono::steady_clock::now() - kLag;
-  const auto newer = std::find_if(this->history.begin(), this->history.end(),
-                                  [horizon](const Event& event) { return event.at > horizon; });
+std::uint64_t StoreStandin::stale_revision() const {
+  const auto horizon = std::chrono::steady_clock::now() - kStaleReadAge;
+  const auto newer =
+      std::find_if(this->history.begin(), this->history.end(),
+                   [horizon](const Event& event) { return event.recorded_at > horizon; });
   return newer == this->history.end() ? this->revision : newer->revision - 1;
 }
 
 void StoreStandin::watch(const std::string& kind, const HttpRequest& request,
                          const Responder& responder) {
-  const std::uint64_t since = number(request.query_value("watch"));
-  if (since < this->oldest) return reply(responder, 410, {});
+  const std::uint64_t since = parse_number(request.query_value("watch"));
+  if (since < this->oldest_watchable) return reply(responder, 410, {});
   Watch& watch = this->watches.emplace_back();
   watch.kind = kind;
   watch.since = since;
-  watch.takes_old = !request.query_value("stale").empty();
+  watch.stale_allowed = !request.query_value("stale").empty();
   watch.responder = responder;
-  if (!this->news_of(watch).empty()) return this->answer(watch);
-  const std::chrono::milliseconds wait(number(request.query_value("wait_ms")));
+  if (!this->visible_events(watch).empty()) return this->answer(watch);
+  const std::chrono::milliseconds wait(parse_number(request.query_value("wait_ms")));
   watch.timer = std::make_unique<asio::steady_timer>(this->loop, wait);
   watch.timer->async_wait([this, &watch](const std::error_code& error) {
     if (!error && watch.open) this->answer(watch);
@@ -120,22 +121,22 @@
 void StoreStandin::answer(Watch& watch) {
   watch.open = false;
   if (this->fault == StoreFault::kSilent) {
-    this->held.push_back(watch.responder);
+    this->unanswered.push_back(watch.responder);
     return;
   }
-  const std::uint64_t visible = watch.takes_old ? this->lagging_revision() : this->revision;
+  const std::uint64_t visible = watch.stale_allowed ? this->stale_revision() : this->revision;
   reply(watch.responder, 200,
-        {{"events", this->news_of(watch)}, {"at", std::max(visible, watch.since)}});
+        {{"events", this->visible_events(watch)}, {"at", std::max(visible, watch.since)}});
 }
 
-json StoreStandin::news_of(const Watch& watch) const {
+json StoreStandin::visible_events(const Watch& watch) const {
   return this->events_between(watch.kind, watch.since,
-                              watch.takes_old ? this->lagging_revision() : this->revision);
+                              watch.stale_allowed ? this->stale_revision() : this->revision);
 }
 
-void StoreStandin::wake() {
+void StoreStandin::answer_ready_watches() {
   for (Watch& watch : this->watches) {
-    if (watch.open && !this->news_of(watch).empty()) this->answer(watch);
+    if (watch.open && !this->visible_events(watch).empty()) this->answer(watch);
   }
 }
 
@@ -149,11 +150,12 @@
   return events;
 }
 
-void StoreStandin::wake_later() {
-  auto timer = std::make_shared<asio::steady_timer>(this->loop, kLag);
-  timer->async_wait([this, timer, living = std::weak_ptr<bool>(this->alive)](const auto& error) {
-    if (!error && !living.expired()) this->wake();
-  });
+void StoreStandin::schedule_stale_watches() {
+  auto timer = std::make_shared<asio::steady_timer>(this->loop, kStaleReadAge);
+  timer->async_wait(
+      [this, timer, lifetime = std::weak_ptr<bool>(this->lifetime_token)](const auto& error) {
+        if (!error && !lifetime.expired()) this->answer_ready_watches();
+      });
 }
 
 json& StoreStandin::store_object(const std::string& kind, const std::string& name,
@@ -170,17 +172,17 @@
   return object;
 }
 
-void StoreStandin::record(const std::string& kind, const json& object, bool gone) {
+void StoreStandin::record(const std::string& kind, const json& object, bool removed) {
   this->history.push_back({this->revision,
                            std::chrono::steady_clock::now(),
                            kind,
-                           {{"object", object}, {"gone", gone}}});
-  this->wake_later();
+                           {{"object", object}, {"gone", removed}}});
+  this->schedule_stale_watches();
 }
 
 void StoreStandin::put(const std::string& kind, const std::string& name, const json& spec) {
   this->store_object(kind, name, spec);
-  this->wake();
+  this->answer_ready_watches();
 }
 
 void StoreStandin::remove(const std::string& kind, const std::string& name) {
@@ -189,13 +191,13 @@
   ++this->revision;
   this->record(kind, object->second, true);
   this->kinds[kind].erase(object);
-  this->wake();
+  this->answer_ready_watches();
 }
 
-void StoreStandin::make(const std::string& kind, const json& body, const Responder& responder) {
+void StoreStandin::create(const std::string& kind, const json& body, const Responder& responder) {
   const std::string name = body.at("meta").at("name");
   if (this->kinds[kind].count(name) > 0) return reply(responder, 409, this->kinds[kind][name]);
-  this->done(this->store_object(kind, name, body.at("spec")), responder);
+  this->finish_write(this->store_object(kind, name, body.at("spec")), responder);
 }
 
 void StoreStandin::replace(const std::string& kind, const std::string& name, const json& body,
@@ -206,12 +208,12 @@
   const bool same =
       !meta.contains("revision") || meta["revision"] == object->second.at("meta").at("revision");
   if (!same) return reply(responder, 409, object->second);
-  this->done(this->store_object(kind, name, body.at("spec")), responder);
+  this->finish_write(this->store_object(kind, name, body.at("spec")), responder);
 }
 
-void StoreStandin::done(const json& object, const Responder& responder) {
+void StoreStandin::finish_write(const json& object, const Responder& responder) {
   const json answer = object;
-  this->wake();
+  this->answer_ready_watches();
   if (this->fault == StoreFault::kLosingWrites) return responder->abort();
   reply(responder, 200, answer);
 }
--- a/tests/platform/support/store_standin.hpp
+++ b/tests/platform/support/store_standin.hpp
@@ -30,7 +30,7 @@
   void set_fault(StoreFault fault);
 
   /// Drops the history: a watch from before gets 410.
-  void forget_history();
+  void drop_history();
 
   /// The operator or an engine writes.
   void put(const std::string& kind, const std::string& name, const nlohmann::json& spec);
@@ -40,14 +40,14 @@
   using Responder = std::shared_ptr<ConnectionResponder>;
   struct Event {
     std::uint64_t revision = 0;
-    std::chrono::steady_clock::time_point at{};
+    std::chrono::steady_clock::time_point recorded_at{};
     std::string kind;
     nlohmann::json event;
   };
   struct Watch {
     std::string kind;
     std::uint64_t since = 0;
-    bool takes_old = false;
+    bool stale_allowed = false;
     Responder responder;
     std::unique_ptr<asio::steady_timer> timer;
     bool open = true;
@@ -56,27 +56,27 @@
   void handle(const HttpRequest& request, const Responder& responder);
   void list(const std::string& kind, const HttpRequest& request, const Responder& responder);
   void watch(const std::string& kind, const HttpRequest& request, const Responder& responder);
-  void make(const std::string& kind, const nlohmann::json& body, const Responder& responder);
+  void create(const std::string& kind, const nlohmann::json& body, const Responder& responder);
   void replace(const std::string& kind, const std::string& name, const nlohmann::json& body,
                const Responder& responder);
-  void done(const nlohmann::json& object, const Responder& responder);
+  void finish_write(const nlohmann::json& object, const Responder& responder);
   nlohmann::json& store_object(const std::string& kind, const std::string& name,
                                const nlohmann::json& spec);
-  void record(const std::string& kind, const nlohmann::json& object, bool gone);
+  void record(const std::string& kind, const nlohmann::json& object, bool removed);
   /// @return the revision up to which a call sees changes: the present one, or for a call that
   /// takes old answers the one of `kLag` ago.
-  std::uint64_t visible_to(const HttpRequest& request) const;
+  std::uint64_t visible_revision(const HttpRequest& request) const;
   nlohmann::json events_between(const std::string& kind, std::uint64_t after,
                                 std::uint64_t last) const;
-  void wake();
+  void answer_ready_watches();
   void answer(Watch& watch);
-  std::uint64_t lagging_revision() const;
-  nlohmann::json news_of(const Watch& watch) const;
+  std::uint64_t stale_revision() const;
+  nlohmann::json visible_events(const Watch& watch) const;
   /// Old answers hear of a change when it has become old.
-  void wake_later();
+  void schedule_stale_watches();
 
   /// Age of what calls see that take old answers.
-  static constexpr std::chrono::milliseconds kLag{900};
+  static constexpr std::chrono::milliseconds kStaleReadAge{900};
 
   asio::io_context& loop;
   std::unique_ptr<Http1Server> server;
@@ -84,10 +84,10 @@
   std::map<std::string, std::map<std::string, nlohmann::json>> kinds;
   std::deque<Event> history;
   std::list<Watch> watches;
-  std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-  std::vector<Responder> held;  ///< Calls that get no answer.
+  std::shared_ptr<bool> lifetime_token = std::make_shared<bool>(true);
+  std::vector<Responder> unanswered;  ///< Calls that get no answer.
   std::uint64_t revision = 1;
-  std::uint64_t oldest = 0;
+  std::uint64_t oldest_watchable = 0;
 };
 
 }  // namespace shuntbank::testing
