--- a/tests/platform/soak/soak.cpp
+++ b/tests/platform/soak/soak.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The soak: real relay processes, faults from outside them, the promises checked while it runs.
+/// Soak test: injects faults around real relay processes and checks invariants while it runs.
 ///
 ///     platform_soak --program build/release/shuntbank-relay --folder DIR [--seeds A..B] [--seconds
 ///     N]
@@ -31,7 +31,7 @@
   return {first, std::stoull(text.substr(dots + 2))};
 }
 
-/// @return whether every promise was kept.
+/// @return whether no invariant was violated.
 bool run_seed(SoakOptions soak_options) {
   soak_options.folder += "/seed-" + std::to_string(soak_options.seed);
   std::filesystem::create_directories(soak_options.folder);
@@ -60,21 +60,23 @@
   std::int64_t seconds = 0;
   options::options_description description("Options");
   description.add_options()("help", "print this")(
-      "program", options::value(&soak_options.program)->required(), "the relay's program")(
-      "folder", options::value(&soak_options.folder)->required(), "for settings and logs")(
+      "program", options::value(&soak_options.program)->required(), "path of the relay program")(
+      "folder", options::value(&soak_options.folder)->required(), "folder for settings and logs")(
       "seeds", options::value(&seeds)->default_value("1"), "one seed, or FIRST..LAST")(
-      "seconds", options::value(&seconds)->default_value(30), "of faults, for each seed")(
+      "seconds", options::value(&seconds)->default_value(30),
+      "duration of fault injection per seed")(
       "deadly", options::bool_switch(&soak_options.crashing_requests),
-      "a request comes again and again that ends each engine that runs it")(
+      "keep sending a request that crashes each engine that runs it")(
       "storms", options::bool_switch(&soak_options.storms),
       "large configurations in quick succession, over slow links to the store")(
       "words", options::bool_switch(&soak_options.engine_notices),
-      "engines leave while the store is silent, turn all away by halves, and lose their entries")(
-      "limits", options::bool_switch(&soak_options.engine_limits),
-      "engines name how many requests a second they take from all nodes together")(
+      "engines drain during store outages, half of them shed all requests, and registrations "
+      "lapse")("limits", options::bool_switch(&soak_options.engine_limits),
+               "engines announce a request rate limit over all nodes")(
       "other-program", options::value(&soak_options.previous_program),
-      "of an earlier version, for which nodes are replaced one after the other, and back")(
-      "relays", options::value(&soak_options.relay_count)->default_value(5), "processes");
+      "relay program of an earlier version, for a rolling downgrade and upgrade")(
+      "relays", options::value(&soak_options.relay_count)->default_value(5),
+      "number of relay processes");
   options::variables_map variables;
   try {
     options::store(options::parse_command_line(argc, argv, description), variables);
--- a/tests/platform/support/callers.cpp
+++ b/tests/platform/support/callers.cpp
@@ -21,18 +21,18 @@
 
 }  // namespace
 
-/// One request under way.
+/// A request in flight.
 struct Callers::Call {
   SentRequest request;
   int status = 0;
   std::string seal;
   bool has_retry_after = false;
   std::string body;
-  std::string buffer;  ///< Of a stream: behind the last whole event.
+  std::string buffer;  ///< Partial event at the end of a stream.
   std::uint64_t last_event = 0;
   TransferId transfer = 0;
   std::unique_ptr<asio::steady_timer> cancel_timer;
-  std::function<void(bool failed)> on_finished;  ///< Set for a request that counts with no others.
+  std::function<void(bool failed)> on_finished;  ///< Set for requests left out of the counts.
 };
 
 Callers::Callers(asio::io_context& own_loop, Ledger& own_ledger, std::vector<NodeEndpoints> nodes,
@@ -66,7 +66,7 @@
                    });
 }
 
-/// When no node is in, all are used.
+/// Falls back to all nodes when none is ready.
 const NodeEndpoints* Callers::choose_node() {
   std::vector<const NodeEndpoints*> ready;
   for (const NodeEndpoints& node : this->node_list) {
@@ -211,7 +211,7 @@
   const bool stream = call->request.event_count > 0 && call->status == 200;
   if (stream) this->ledger.on_stream_end_received(call->request.id, call->last_event);
   if ((call->status == 503 || call->status == 429) && !call->has_retry_after) {
-    this->ledger.add_violation("COME BACK", call->request.id + ": a refusal without a time");
+    this->ledger.add_violation("COME BACK", call->request.id + ": refusal without Retry-After");
   }
 }
 
--- a/tests/platform/support/callers.hpp
+++ b/tests/platform/support/callers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Callers of a site: they find nodes as the platform's entry does, send, and check what they get.
+/// Load generator: picks ready nodes as a load balancer would, and checks the answers.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,46 +16,46 @@
 
 namespace shuntbank::testing {
 
-/// A node as the entry sees it.
+/// A node as a load balancer sees it.
 struct NodeEndpoints {
   std::string caller_address;  ///< IP:PORT
   std::string ready_address;   ///< IP:PORT
-  int failed_checks = 2;       ///< Questions in a row without a 200.
+  int failed_checks = 2;       ///< Consecutive readiness checks without a 200.
 
   bool operator==(const NodeEndpoints&) const = default;
 };
 
-/// How requests ended.
+/// Requests by outcome.
 struct CallerCounts {
   std::uint64_t completed = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
-  std::uint64_t cancelled = 0;  ///< The caller gave up early on purpose.
+  std::uint64_t cancelled = 0;  ///< Cancelled early by the caller on purpose.
 
   bool operator==(const CallerCounts&) const = default;
 };
 
-/// A number of callers, each with one request at a time.
+/// Simulated callers, each with one request at a time.
 class Callers {
  public:
   Callers(asio::io_context& loop, Ledger& ledger, std::vector<NodeEndpoints> nodes,
           std::uint64_t seed);
 
-  /// Begins to send with so many callers.
+  /// Starts `callers` closed-loop callers.
   void start(std::size_t callers);
 
-  /// Sends a request that ends each engine that runs it; once more when that has failed. Counts
-  /// with no others. @param name the same for all its tries.
+  /// Sends a request that crashes each engine that runs it; not part of the counts.
+  /// @param name the same for all attempts. @param retry whether to send it again on failure.
   void send_crashing_request(const std::string& name, bool retry = true);
 
-  /// Sends no more; what is under way ends.
+  /// Sends no new requests; those in flight complete.
   void stop() { this->stopped = true; }
 
-  /// @param share of the requests that their caller gives up early.
+  /// @param share of the requests that their caller cancels early.
   void set_cancel_share(double share) { this->cancel_share = share; }
 
-  /// Asks one node for a target that tests the configuration in force there.
-  /// @param on_status is told 0 when there is no answer.
+  /// Requests a target from one node to test its active configuration.
+  /// @param on_status gets 0 when there is no answer.
   void probe(const NodeEndpoints& node, const std::string& target,
              std::function<void(int status)> on_status);
 
--- a/tests/platform/support/engine_standin.cpp
+++ b/tests/platform/support/engine_standin.cpp
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds kPrefillDuration{30};       ///< Of a prompt.
-constexpr std::chrono::milliseconds kStageChangeDuration{800};  ///< From one stage to the other.
+constexpr std::chrono::milliseconds kPrefillDuration{30};
+constexpr std::chrono::milliseconds kStageChangeDuration{800};
 
 std::string hexadecimal(std::uint64_t value) {
   constexpr char kDigits[] = "0123456789abcdef";
@@ -43,7 +43,7 @@
 }
 
 EngineStandin::~EngineStandin() {
-  // Its connections end their runs as they close, for which the runs must still be there.
+  // Closing connections end their runs, so the server goes before the runs.
   this->server.reset();
 }
 
@@ -72,7 +72,7 @@
   this->server->close();
   this->server.reset();
   this->proxy->reset_all();
-  // The kernel may give the port to another server, also to one of another soak.
+  // The kernel may reuse the port for another server, even one of another soak.
   this->proxy->set_target(asio::ip::tcp::endpoint());
   this->transition_timer = std::make_unique<asio::steady_timer>(this->loop, removal_delay);
   this->transition_timer->async_wait([this, removed_id = this->id](const std::error_code& error) {
@@ -136,7 +136,7 @@
   return fields;
 }
 
-/// Of ten refusals seven ask for up to 3 s of rest, one for what cannot be read.
+/// Of ten refusals, seven request a cooldown of up to 3 s and one has a malformed Retry-After.
 void EngineStandin::add_cooldown(const std::string& request, HttpHeaders& fields) {
   const std::uint64_t value = this->cooldown_random();
   if (value % 10 == 0) return fields.add("Retry-After", value % 20 == 0 ? "soon" : "-1");
@@ -263,7 +263,7 @@
   this->schedule_step(run);
 }
 
-/// Ends with all that it runs, a moment after it has begun to answer.
+/// Crashes the engine and all its runs shortly after the answer has started.
 void EngineStandin::run_crashing_request(const HttpRequest& request, const RunPointer& run) {
   this->begin_stream(run, request);
   run->timer->expires_after(this->scaled_step_duration());
--- a/tests/platform/support/engine_standin.hpp
+++ b/tests/platform/support/engine_standin.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An engine that speaks the platform's published protocol, with faults that tests switch on.
+/// Fake engine for the platform's protocol, with fault injection.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,56 +20,56 @@
 
 namespace shuntbank::testing {
 
-/// What an engine is.
+/// Static properties of an engine.
 struct EngineShape {
   std::string service;
   bool model = false;
-  std::string stage;  ///< `prefill` or `decode` at its start; empty for plain engines.
+  std::string stage;  ///< Initial stage, `prefill` or `decode`; empty for plain engines.
   std::size_t slots = 48;
-  std::chrono::milliseconds step_duration{10};  ///< Between two events, or for a plain answer.
+  std::chrono::milliseconds step_duration{10};  ///< Per event, or for a plain answer.
 
   bool operator==(const EngineShape&) const = default;
 };
 
-/// How an engine misbehaves while its health is good.
+/// How an engine that reports itself healthy misbehaves.
 enum class EngineFault { kNone, kErrors, kSheds, kHangs, kResets, kLosesAnswers };
 
-/// One engine behind a fault proxy. A start after a crash is a new incarnation.
+/// One engine behind a fault proxy. Each restart is a new incarnation.
 class EngineStandin {
  public:
   EngineStandin(asio::io_context& loop, StoreStandin& store, Ledger& ledger,
                 const EngineShape& shape, std::uint64_t seed);
   ~EngineStandin();
 
-  /// Begins a new incarnation and registers it.
+  /// Starts a new incarnation and registers it.
   void start();
 
-  /// Ends at once. Its registration goes after `lag`.
+  /// Stops at once. The registration is removed after `removal_delay`.
   void crash(std::chrono::milliseconds removal_delay);
 
-  /// Says that it drains, and ends after `duration`.
+  /// Announces draining, and stops after `duration`.
   void drain(std::chrono::milliseconds duration);
 
-  /// Its entry goes while it serves on, and comes back after a while.
+  /// Removes the registration for `duration` while the engine keeps serving.
   void lapse_registration(std::chrono::milliseconds duration);
 
-  /// Misbehaves in a share of its answers.
+  /// Injects a fault into a share of the answers.
   void set_fault(EngineFault fault, double share);
 
-  /// Names how many requests a second it takes, or none any more.
+  /// Announces a limit in requests per second; empty removes it.
   void set_limit(std::optional<double> per_second);
 
-  /// Works `times` as long for each step.
+  /// Makes each step take `times` as long.
   void set_slowness(int times) { this->slowness = times; }
 
-  /// Sets what is called when a request has come that ends the engine, and whether all else is
-  /// calm.
+  /// @param crash stops the engine after a crashing request.
+  /// @param is_undisturbed tells whether relays and store are free of faults.
   void set_crash_handlers(std::function<void()> crash, std::function<bool()> is_undisturbed) {
     this->crash_handler = std::move(crash);
     this->undisturbed = std::move(is_undisturbed);
   }
 
-  /// Its words may not have been heard.
+  /// Notices of the engine may have been lost.
   void link_disturbed() { this->ledger.link_disturbed(this->id); }
 
   bool running() const { return this->server != nullptr; }
@@ -78,7 +78,7 @@
  private:
   using Responder = std::shared_ptr<ConnectionResponder>;
 
-  /// A request that the engine works on.
+  /// A request being executed.
   struct Run {
     std::string id;
     Responder responder;
@@ -92,7 +92,7 @@
   void handle(const HttpRequest& request, const Responder& responder);
   void accept(const HttpRequest& request, const Responder& responder);
   void record_arrival(const HttpRequest& request, bool prefill_only);
-  /// @return the status that the request is refused with, or nothing.
+  /// @return the status to refuse the request with, or nothing to accept it.
   std::optional<int> refusal_status(EngineFault drawn, bool prefill_only) const;
   void prefill(const HttpRequest& request, const Responder& responder);
   void report(const Responder& responder);
@@ -119,11 +119,11 @@
   Ledger& ledger;
   EngineShape shape;
   std::mt19937_64 random;
-  std::mt19937_64 cooldown_random;  ///< Of its own: all else of a seed stays as it is.
+  std::mt19937_64 cooldown_random;  ///< Separate, so that it does not shift `random`.
   std::unique_ptr<Http1Server> server;
   std::unique_ptr<FaultProxy> proxy;
   std::unique_ptr<asio::steady_timer> transition_timer;
-  std::unique_ptr<asio::steady_timer> reregister_timer;  ///< Until a lapsed entry is back.
+  std::unique_ptr<asio::steady_timer> reregister_timer;  ///< After a lapse.
   std::string id;
   std::string stage;
   std::string state;
--- a/tests/platform/support/fault_proxy.cpp
+++ b/tests/platform/support/fault_proxy.cpp
@@ -15,10 +15,10 @@
 using Tcp = asio::ip::tcp;
 using namespace std::chrono_literals;
 
-/// How often a pump that holds bytes back looks whether it may go on.
+/// How often a stalled direction checks whether it may resume.
 constexpr std::chrono::milliseconds kHoldPollInterval{20};
 
-/// Closes with a reset instead of an orderly end.
+/// Closes with a TCP reset instead of a FIN.
 void reset(Tcp::socket& socket) {
   std::error_code ignored;
   socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -29,7 +29,7 @@
 
 class FaultProxy::Impl : public std::enable_shared_from_this<FaultProxy::Impl> {
  public:
-  /// One connection: two pumps. Keeps itself alive while one of them runs.
+  /// One proxied connection. Kept alive by its pending operations.
   class Link : public std::enable_shared_from_this<Link> {
    public:
     Link(std::shared_ptr<Impl> proxy, Tcp::socket accepted)
@@ -53,7 +53,7 @@
     }
 
    private:
-    /// Bytes of one direction.
+    /// Buffer of one direction.
     struct Direction {
       std::array<char, 16384> bytes{};
       std::size_t size = 0;
@@ -73,7 +73,7 @@
           });
     }
 
-    /// Passes an orderly end on. The other direction may still have bytes.
+    /// Forwards a half-close. The other direction may still carry bytes.
     void forward_end(Tcp::socket& to) {
       std::error_code ignored;
       to.shutdown(Tcp::socket::shutdown_send, ignored);
@@ -132,7 +132,7 @@
     });
   }
 
-  /// @return when the link will have carried so many bytes, after all that it has taken before.
+  /// @return the time until these bytes, queued after all earlier ones, have been sent.
   std::chrono::milliseconds transmission_time(std::size_t bytes) {
     if (this->rate_down == 0) return 0ms;
     const auto now = std::chrono::steady_clock::now();
@@ -144,7 +144,7 @@
   asio::io_context& loop;
   Tcp::endpoint target;
   Tcp::acceptor acceptor;
-  std::size_t rate_down = 0;  ///< Bytes a second.
+  std::size_t rate_down = 0;  ///< Bytes per second; 0: unlimited.
   std::chrono::steady_clock::time_point link_free_at{};
   LinkState state;
   std::set<std::shared_ptr<Link>> links;
--- a/tests/platform/support/fault_proxy.hpp
+++ b/tests/platform/support/fault_proxy.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A TCP relay on the loopback that hurts what passes through it.
+/// TCP proxy on the loopback interface with fault injection.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -10,17 +10,17 @@
 
 namespace shuntbank::testing {
 
-/// What the relay does to the bytes.
+/// Faults of a link.
 struct LinkState {
   bool stalled_up = false;             ///< Bytes towards the target are held back.
   bool stalled_down = false;           ///< Bytes from the target are held back.
   bool refusing = false;               ///< New connections are reset.
-  std::chrono::milliseconds delay{0};  ///< For each piece, in both directions.
+  std::chrono::milliseconds delay{0};  ///< Per chunk, in both directions.
 
   bool operator==(const LinkState&) const = default;
 };
 
-/// Passes connections on to one target.
+/// Forwards connections to one target.
 class FaultProxy {
  public:
   FaultProxy(asio::io_context& loop, asio::ip::tcp::endpoint target);
@@ -28,18 +28,18 @@
   FaultProxy(const FaultProxy&) = delete;
   FaultProxy& operator=(const FaultProxy&) = delete;
 
-  /// @return where it listens, as IP:PORT.
+  /// @return the listening address, as IP:PORT.
   std::string address() const;
 
   void set(const LinkState& state);
 
-  /// Bounds what all connections together get from the target; 0: no bound.
+  /// Limits the total rate from the target over all connections; 0: no limit.
   void set_rate_down(std::size_t bytes_per_second);
 
-  /// Resets all connections that are open.
+  /// Resets all open connections.
   void reset_all();
 
-  /// Later connections go to another target.
+  /// Sets the target of later connections.
   void set_target(const asio::ip::tcp::endpoint& target);
 
  private:
--- a/tests/platform/support/ledger.cpp
+++ b/tests/platform/support/ledger.cpp
@@ -6,17 +6,17 @@
 namespace shuntbank::testing {
 namespace {
 
-/// These statuses promise that the request has not run and never will.
+/// Whether a status guarantees that the request has not run and never will.
 bool means_not_run(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/// A machine is known by the part of a holder's name before its start.
+/// A holder is named MACHINE/INCARNATION.
 std::string machine_of(const std::string& holder) {
   return holder.substr(0, holder.find('/'));
 }
 
-/// Engines that a request may end, and how often it may reach one once that is known everywhere.
+/// Engines that a request may crash, and how often it may reach an engine after propagation.
 constexpr std::size_t kCrashLimit = 3;
 constexpr std::size_t kMaxLateSends = 3;
 constexpr std::chrono::seconds kPropagationTime{3};
@@ -49,25 +49,28 @@
 void Ledger::on_answer_received(const std::string& id, int status, const std::string& seal,
                                 const std::string& body) {
   const SentRequest* request = this->find(id);
-  if (request == nullptr) return this->add_violation("MIXED", "answer to no request: " + id);
+  if (request == nullptr)
+    return this->add_violation("MIXED", "answer to an unknown request: " + id);
   if (means_not_run(status) && !request->repeatable) {
     this->refused_as_not_run[id] = true;
-    if (this->count_runs(id) > 0) this->add_violation("REFUSED", id + " had run");
+    if (this->count_runs(id) > 0)
+      this->add_violation("REFUSED", id + " was refused as not run, but had run");
   }
   const bool success = status >= 200 && status < 300;
   if (seal.empty()) {
-    if (success) this->add_violation("MIXED", id + ": a success without a seal");
+    if (success) this->add_violation("MIXED", id + ": successful answer without a seal");
     return;
   }
   const auto answer = this->answers_by_seal.find(seal);
   if (answer == this->answers_by_seal.end()) {
-    return this->add_violation("MIXED", id + ": a seal that no engine gave");
+    return this->add_violation("MIXED", id + ": seal that no engine issued");
   }
   if (answer->second.request != id) this->add_violation("MIXED", id + ": another request's answer");
-  if (answer->second.status != status) this->add_violation("MIXED", id + ": another status");
-  // The body of a stream is checked event by event.
+  if (answer->second.status != status)
+    this->add_violation("MIXED", id + ": status differs from the engine's");
+  // Bodies of streams are checked per event.
   if (request->event_count == 0 && answer->second.body != body) {
-    this->add_violation("MIXED", id + ": another body");
+    this->add_violation("MIXED", id + ": body differs from the engine's");
   }
 }
 
@@ -113,20 +116,20 @@
                                const std::string& text) {
   if (text == event_text(id, number)) return true;
   this->add_violation("ORDER",
-                      id + ": event " + std::to_string(number) + " is not its own: " + text);
+                      id + ": event " + std::to_string(number) + " has the wrong text: " + text);
   return false;
 }
 
 void Ledger::on_stream_end_received(const std::string& id, std::uint64_t last) {
   const SentRequest* request = this->find(id);
   if (request == nullptr || request->event_count == last) return;
-  this->add_violation("ORDER", id + ": ended as whole after event " + std::to_string(last) +
+  this->add_violation("ORDER", id + ": stream ended normally after event " + std::to_string(last) +
                                    " of " + std::to_string(request->event_count));
 }
 
 void Ledger::on_arrival(const std::string& id, const std::string& service, bool prefill_only) {
   if (this->find(id) == nullptr) return this->add_violation("UNASKED", id + " was never sent");
-  // The first prompt that is taken up to be read apart is not extra.
+  // The first remote prefill of a request is not a retry.
   if (prefill_only && !std::exchange(this->prefill_seen[id], true)) return;
   if (this->arrival_counts[id]++ == 0 && !prefill_only) return;
   const SteadyTime now = std::chrono::steady_clock::now();
@@ -159,11 +162,12 @@
   const SentRequest* request = this->find(id);
   if (request == nullptr) return this->add_violation("UNASKED", id + " was never sent");
   const bool same = request->method == method && request->target == target && request->body == body;
-  if (!same) this->add_violation("UNASKED", id + " was changed on its way");
+  if (!same) this->add_violation("UNASKED", id + " was modified in transit");
   if (request->service != service) this->add_violation("ROUTE", id + " ran at " + service);
   const std::uint64_t count = ++this->run_counts[id];
   if (count > 1 && !request->repeatable) this->add_violation("TWICE", id);
-  if (this->refused_as_not_run.count(id) > 0) this->add_violation("REFUSED", id + " runs later");
+  if (this->refused_as_not_run.count(id) > 0)
+    this->add_violation("REFUSED", id + " was refused as not run, but runs later");
 }
 
 std::string Ledger::seal_answer(const EngineAnswer& answer) {
@@ -179,7 +183,7 @@
 void Ledger::on_handle_used(const std::string& handle, const std::string& id) {
   const auto made = this->handles.find(handle);
   if (made != this->handles.end() && made->second != id) {
-    this->add_violation("MIXED", id + " goes on from the memory of " + made->second);
+    this->add_violation("MIXED", id + " uses the prefill handle of " + made->second);
   }
 }
 
@@ -188,7 +192,7 @@
   const bool late = request.crashes >= kCrashLimit &&
                     std::chrono::steady_clock::now() - request.third_crash_at > kPropagationTime;
   if (!late || !undisturbed || ++request.late_sends != kMaxLateSends + 1) return;
-  this->add_violation("CRASHING", name + " is sent on, after it has ended " +
+  this->add_violation("CRASHING", name + " is still sent after it crashed " +
                                       std::to_string(request.crashes) + " engines");
 }
 
--- a/tests/platform/support/ledger.hpp
+++ b/tests/platform/support/ledger.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What callers sent, what engines ran and what callers got, and the promises checked over both.
+/// Records what callers sent, engines ran and callers received, and checks invariants over it.
 #pragma once
 
 #include <chrono>
@@ -18,32 +18,32 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-/// What a request is, as its caller made it.
+/// A request as sent by its caller.
 struct SentRequest {
   std::string id;
   std::string method;
   std::string target;
   std::string body;
-  std::string service;            ///< The only one that may run it.
+  std::string service;            ///< The only service that may run it.
   bool repeatable = false;        ///< May run more than once.
-  std::uint64_t event_count = 0;  ///< Events of a whole stream; 0: a plain answer.
-  std::string node{};             ///< That it was sent to.
-  MonotonicTime sent_at{};        ///< When.
+  std::uint64_t event_count = 0;  ///< Events of the complete stream; 0: a plain answer.
+  std::string node{};             ///< Node that it was sent to.
+  MonotonicTime sent_at{};
 
   bool operator==(const SentRequest&) const = default;
 };
 
-/// One answer of an engine, as it left.
+/// An answer as sent by its engine.
 struct EngineAnswer {
   std::string request;
   int status = 0;
   std::string body;
-  std::string engine{};  ///< The start that gave it.
+  std::string engine{};  ///< Incarnation that sent it.
 
   bool operator==(const EngineAnswer&) const = default;
 };
 
-/// A promise that was broken, by its rule's usual name.
+/// A violated invariant.
 struct Violation {
   std::string rule;
   std::string what;
@@ -51,78 +51,77 @@
   bool operator==(const Violation&) const = default;
 };
 
-/// Bound on repeated arrivals of a service.
+/// Bound on retries that reach a service.
 struct RetryBound {
   double ratio = 0.2;
   double slack = 0;
   std::chrono::seconds window{10};
 };
 
-/// The record of one run. Not thread safe.
+/// The record of one soak run. Not thread safe.
 class Ledger {
  public:
-  /// Of the requests that end engines.
+  /// Path of requests that crash engines.
   static constexpr std::string_view kCrashingPath = "/stream/deadly";
 
   explicit Ledger(const RetryBound& retry_bound) : bound(retry_bound) {}
 
-  /// Until a node sends no request any more to an engine that has told it that it leaves.
+  /// Within this time a node must stop sending to an engine that announced draining.
   static constexpr std::chrono::milliseconds kDrainingGrace{2000};
 
   // Callers.
   void on_sent(const SentRequest& request);
   void on_answer_received(const std::string& id, int status, const std::string& seal,
                           const std::string& body);
-  /// The head of an answer has come that says that its engine leaves.
+  /// The answer's headers say that its engine is draining.
   void on_draining_received(const std::string& seal);
-  /// The head of an answer has come that names its engine's limit.
+  /// The answer's headers carry its engine's limit.
   void on_limit_received(const std::string& seal);
-  /// One event of a stream, in its order. @return whether it was the one expected.
+  /// @param number of the event in arrival order. @return whether it is the expected one.
   bool on_event_received(const std::string& id, std::uint64_t number, const std::string& text);
   void on_stream_end_received(const std::string& id, std::uint64_t last);
 
   // Engines.
-  /// @param reads_apart whether the engine takes the request up only to read its prompt; one that
-  /// it refuses has arrived like any other.
+  /// @param prefill_only whether the engine accepts the request for a remote prefill; false when
+  /// it refuses the request.
   void on_arrival(const std::string& id, const std::string& service, bool prefill_only);
-  /// A request is at an engine that it was meant for, whatever becomes of it.
+  /// A request reached the incarnation it was sent to, which may still refuse it.
   void on_received_by_engine(const std::string& id, const std::string& engine);
-  /// An engine turns a request away and asks its node for rest.
+  /// An engine refuses a request and asks its node for a cooldown.
   void on_cooldown_requested(const std::string& id, const std::string& engine, Duration duration);
-  /// An engine says from now on how many requests a second it takes from all nodes together, or
-  /// says so no more.
+  /// An engine announces its limit in requests per second over all nodes, or removes it.
   void on_limit_changed(const std::string& engine, std::optional<double> per_second);
   void on_run(const std::string& id, const std::string& service, const std::string& method,
               const std::string& target, const std::string& body);
-  /// @return the seal to send with the answer.
+  /// Records an answer. @return the unique seal to send with it.
   std::string seal_answer(const EngineAnswer& answer);
   void on_handle_created(const std::string& handle, const std::string& id);
   void on_handle_used(const std::string& handle, const std::string& id);
-  /// A request that ends each engine that runs it has reached one, or has ended one.
-  /// @param name of the request, whatever ids its tries have. @param calm all relays and the store
-  /// have been undisturbed for as long as knowledge may take to be everywhere.
+  /// A request that crashes each engine that runs it has reached one.
+  /// @param name common to all attempts. @param undisturbed whether relays and store have been
+  /// free of faults for long enough to propagate the crashes.
   void on_crashing_request(const std::string& name, bool undisturbed);
   void on_engine_crashed(const std::string& name);
   std::size_t crash_count(const std::string& name) const;
 
   void on_order(const std::string& engine, const std::string& holder, std::uint64_t fence);
 
-  // Disturbances.
-  /// A node was restarted, stood still or woke.
+  // Faults.
+  /// A node was restarted, stalled or resumed.
   void node_disturbed(const std::string& node) {
     this->notices.excuse_node(node);
     this->limits.excuse_node(node);
   }
-  /// A node runs a program that does not know limits, or no longer does so.
+  /// Whether a node runs a version without support for engine limits.
   void set_unaware_of_limits(const std::string& node, bool unaware) {
     this->limits.set_unaware(node, unaware);
   }
-  /// The way from an engine to the nodes was cut or harmed.
+  /// The link between an engine and the nodes was faulty.
   void link_disturbed(const std::string& engine) { this->notices.excuse_rests(engine); }
 
   void add_violation(const std::string& rule, const std::string& what);
 
-  /// @return the largest share of what limits allow that any window held.
+  /// @return the highest utilization of a limit in any window.
   double max_limit_utilization() const { return this->limits.most(); }
 
   const SentRequest* find(const std::string& id) const;
@@ -139,7 +138,7 @@
   };
   struct CrashingRequest {
     std::size_t crashes = 0;
-    SteadyTime third_crash_at{};  ///< When the third engine ended.
+    SteadyTime third_crash_at{};  ///< When `kCrashLimit` was reached.
     std::size_t late_sends = 0;
   };
   void check_budget(const std::string& service, SteadyTime now);
--- a/tests/platform/support/relay_child.hpp
+++ b/tests/platform/support/relay_child.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A relay program as a process of its own, with its settings file, log and signals.
+/// Runs a relay program as a child process with its settings file and log.
 #pragma once
 
 #include <sys/types.h>
@@ -9,7 +9,7 @@
 
 namespace shuntbank::testing {
 
-/// Where one relay listens and what it reaches.
+/// Name, addresses and ports of one relay.
 struct RelayConfig {
   std::string name;
   std::string ip;
@@ -23,10 +23,10 @@
   bool operator==(const RelayConfig&) const = default;
 };
 
-/// @return a port that the kernel has just found free on an address.
+/// @return a port that is free on an address at the moment.
 std::uint16_t free_port(const std::string& ip);
 
-/// One process at a time, on one place. Killed and reaped when the object goes.
+/// At most one process at a time. The destructor kills and reaps it.
 class RelayChild {
  public:
   /// @param folder of the settings file and the log; must exist.
@@ -35,15 +35,15 @@
   RelayChild(const RelayChild&) = delete;
   RelayChild& operator=(const RelayChild&) = delete;
 
-  /// Runs another program from its next start on.
+  /// Sets the program of later starts.
   void set_program(const std::string& other) { this->program = other; }
   const std::string& next_program() const { return this->program; }
 
-  /// @param first whether the whole system starts for the first time.
+  /// @param bootstrap whether the whole system starts for the first time.
   void start(bool bootstrap);
   void send_signal(int signal);
 
-  /// @return whether the process runs; reaps it when it has ended.
+  /// @return whether the process runs; reaps it after its exit.
   bool running();
 
   const RelayConfig& config() const { return this->relay_config; }
--- a/tests/platform/support/soak_site.cpp
+++ b/tests/platform/support/soak_site.cpp
@@ -17,39 +17,38 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-/// The bound of the settings that relays get, with room for what a killed relay forgets.
+/// The relays' configured retry budget, with slack for budget state lost by killed relays.
 constexpr double kRetryRatio = 0.2;
 constexpr double kRetrySlack = 20;
 
-/// Of each piece on a link that is slow.
+/// Delay per chunk on a slow link.
 constexpr std::chrono::milliseconds kSlowLinkDelay{40};
 
-/// Of a relay or the store, with the time that is left to learn what was missed.
+/// Longest fault of a relay or the store, including the time to catch up afterwards.
 constexpr std::chrono::seconds kMaxDisturbance{9};
 
-/// Engines that the deadly request may end with all else calm: three, and one more in case that two
-/// tries are under way as the third ends.
+/// Engines that the crashing request may crash without other faults: three, and one more in case
+/// two attempts are in flight at the third crash.
 constexpr std::size_t kMaxCrashesUndisturbed = 4;
 
-/// The request that ends engines; the same at each of its comings.
+/// Name and body of the crashing request, the same for all attempts.
 const std::string kCrashingRequest = "the deadly one";
 
-/// Routes more in a configuration of storms: with them it takes half a second on a link of that
-/// rate, longer than the pause between two changes.
+/// Extra routes that make a configuration take half a second on a storm link, longer than the gap
+/// between two changes.
 constexpr int kStormRoutes = 1400;
 constexpr std::size_t kStormLinkBytesPerSecond = 1'000'000;
 constexpr std::chrono::milliseconds kStormGap{350};
 
-/// Routes that were added stay for so many versions of a storm, to be looked for while it goes on:
-/// for longer than a healed site has to recover.
+/// Versions for which an added route is retained in storms; lasts longer than the recovery timeout,
+/// so that probes can find the route.
 constexpr std::uint64_t kStormRouteVersions = 120;
 
-/// Until a site that was healed must serve again; far longer than it takes.
+/// Time within which a site must serve again after its faults are cleared.
 constexpr std::chrono::seconds kRecoveryTimeout{30};
 
-/// @return the first three parts of the relays' addresses, of this process alone. Ports are drawn
-/// before they are listened on: of two soaks at the same addresses one can draw what the other has
-/// drawn, and its relay never starts.
+/// @return the first three octets of the relays' addresses, derived from the process id. Ports are
+/// chosen before they are bound, so concurrent soaks on the same addresses could pick the same one.
 std::string process_network_prefix() {
   constexpr int kNetworks = 254;
   const int process = getpid();
@@ -125,7 +124,7 @@
     config.ip = process_network_prefix() + std::to_string(i + 1);
     config.zone = "z" + std::to_string(i % 3);
     config.store_address = this->store_links.back()->address();
-    // The kernel may find the same port free twice, and two of a relay's addresses would clash.
+    // The kernel may return the same free port twice.
     std::set<std::uint16_t> drawn;
     for (std::uint16_t* port :
          {&config.caller_port, &config.ready_port, &config.control_port, &config.peer_port}) {
@@ -179,7 +178,7 @@
                      [](const NodeEndpoints& node) { return node.failed_checks == 0; });
 }
 
-/// A process that has ended starts again after a short while, as on the platform.
+/// Restarts exited processes after a short delay, as the platform does.
 void SoakSite::keep_relays_running() {
   for (const auto& relay : this->relays) {
     if (relay->running()) continue;
@@ -229,7 +228,7 @@
 
 void SoakSite::inject_fault() {
   const std::uint64_t kind = this->draw(24);
-  // Relays and the store are disturbed by the first kinds, for at most so long.
+  // The first kinds disturb relays or the store.
   if (kind < 15) this->disturbed_until = std::chrono::steady_clock::now() + kMaxDisturbance;
   if (kind < 8) return this->inject_relay_fault(kind);
   if (kind < 15) return this->inject_store_fault(kind - 8);
@@ -271,7 +270,7 @@
       }
       return;
     default:
-      this->log_fault("callers leave early");
+      this->log_fault("callers cancel early");
       this->callers->set_cancel_share(0.3);
       return this->schedule(duration, [this] { this->callers->set_cancel_share(0.02); });
   }
@@ -296,12 +295,12 @@
     case 3:
       return set_store_fault(StoreFault::kLosingWrites, "losing answers to writes");
     case 4:
-      this->log_fault("store forgets its history");
+      this->log_fault("store drops its history");
       return this->store.drop_history();
     case 5: {
       const bool up = this->draw(3) != 0;
       const bool down = !up || this->draw(2) == 0;
-      this->log_fault("a relay cut from the store" + length);
+      this->log_fault("a relay cut off from the store" + length);
       link.set({up, down, false, 0ms});
       return this->schedule(duration, [&link] { link.set({}); });
     }
@@ -367,13 +366,13 @@
 
 void SoakSite::send_crashing_requests() {
   if (this->healed) return;
-  this->log_fault("the deadly request comes");
+  this->log_fault("crashing request sent");
   this->callers->send_crashing_request(kCrashingRequest);
   this->schedule(std::chrono::milliseconds(300 + this->crash_random() % 3000),
                  [this] { this->send_crashing_requests(); });
 }
 
-/// Goes on when all is healed: a node that is behind must catch up while changes come.
+/// Continues after the faults are cleared: a node must catch up despite ongoing changes.
 void SoakSite::start_storm() {
   const std::uint64_t changes = 3 + this->storm_random() % 10;
   this->log_fault("a storm of " + std::to_string(changes) + " configurations");
@@ -395,18 +394,18 @@
   const std::uint64_t kind = this->notice_random() % 4;
   if (kind == 0) this->shed_at_half_the_engines(duration);
   if (kind == 1 && engine.running()) {
-    this->log_fault("the entry of engine " + std::to_string(index) + " lapses");
+    this->log_fault("registration of engine " + std::to_string(index) + " lapses");
     engine.lapse_registration(duration);
   }
   if (kind > 1 && engine.running()) {
-    this->log_fault("engine " + std::to_string(index) + " leaves while the store is silent");
+    this->log_fault("engine " + std::to_string(index) + " drains while the store is silent");
     this->drain_during_store_outage(engine);
   }
   this->schedule(duration, [this] { this->inject_notice_faults(); });
 }
 
-/// Half of the time a figure changes in steps; at last it goes, or stays until the engine starts
-/// anew.
+/// Half of the time a limit changes in steps; finally it is removed, or stays until the engine
+/// restarts.
 void SoakSite::inject_limit_changes() {
   if (this->healed) return;
   constexpr double kLimits[] = {0, 0.5, 1.3, 5, 20, 50};
@@ -414,12 +413,14 @@
   const std::uint64_t kind = this->limit_random() % 4;
   const std::size_t index = this->limit_random() % this->engines.size();
   if (kind == 0) {
-    this->log_fault("half of the engines take " + std::to_string(limit) + " a second");
+    this->log_fault("half of the engines announce a limit of " + std::to_string(limit) +
+                    " requests/s");
     for (std::size_t i = 0; i < this->engines.size(); i += 2) this->change_limit(i, limit, 0, 1);
   } else {
     const double factor = kind == 1 ? 1 : kind == 2 ? 0.5 : 2;
-    this->log_fault("engine " + std::to_string(index) + " takes " + std::to_string(limit) +
-                    " a second, from then on times " + std::to_string(factor));
+    this->log_fault("engine " + std::to_string(index) + " announces a limit of " +
+                    std::to_string(limit) + " requests/s, then multiplied in steps by " +
+                    std::to_string(factor));
     this->change_limit(index, limit, kind == 1 ? 0 : 4, factor);
   }
   if (this->limit_random() % 4 == 0) {
@@ -444,7 +445,7 @@
   this->schedule(pause + 5s, [&engine] { engine.set_limit({}); });
 }
 
-/// Goes through the nodes, and then back to the program before.
+/// Switches the nodes one by one to the earlier program, then back.
 void SoakSite::upgrade_next() {
   if (this->healed) return;
   const std::size_t count = this->relays.size();
@@ -460,7 +461,7 @@
   this->schedule(interval, [this] { this->upgrade_next(); });
 }
 
-/// It serves on for a while after the store has taken its word.
+/// The engine keeps serving for a while after the store has accepted its draining state.
 void SoakSite::drain_during_store_outage(EngineStandin& engine) {
   constexpr std::chrono::milliseconds kOutage{7000};
   constexpr std::chrono::milliseconds kServeAfterOutage{2500};
@@ -473,9 +474,9 @@
   });
 }
 
-/// The second half of the engines stays: of each service some.
+/// The other half keeps serving; it has engines of each service.
 void SoakSite::shed_at_half_the_engines(std::chrono::milliseconds duration) {
-  this->log_fault("half of the engines turn all away for " + std::to_string(duration.count()) +
+  this->log_fault("half of the engines shed all requests for " + std::to_string(duration.count()) +
                   " ms");
   for (std::size_t i = 0; i < this->engines.size(); i += 2) {
     EngineStandin& engine = *this->engines[i];
@@ -484,7 +485,7 @@
   }
 }
 
-/// Its entry goes after a while, and it is back within two seconds at the same address.
+/// Removes the registration after a delay; restarts within two seconds at the same address.
 void SoakSite::crash_and_restart(EngineStandin& engine) {
   engine.crash(std::chrono::milliseconds(this->crash_random() % 3000));
   this->schedule(std::chrono::milliseconds(800 + this->crash_random() % 1200), [&engine] {
@@ -496,8 +497,7 @@
   return std::chrono::steady_clock::now() >= this->disturbed_until;
 }
 
-/// With all healed it comes often, at any node. Engines may end until it is known; from then on it
-/// reaches none.
+/// Without other faults, the crashing request must be quarantined on all nodes after a few crashes.
 void SoakSite::check_crashing_request() {
   constexpr int kAttempts = 30;
   const std::size_t before = this->ledger.crash_count(kCrashingRequest);
@@ -509,14 +509,14 @@
   const std::size_t crashes = this->ledger.crash_count(kCrashingRequest) - before;
   if (crashes > kMaxCrashesUndisturbed) {
     this->ledger.add_violation("CRASHING",
-                               std::to_string(crashes) + " engines ended with all else calm");
+                               std::to_string(crashes) + " engines crashed without other faults");
   }
 }
 
 void SoakSite::heal() {
   this->healed = true;
   this->timers.clear();
-  // Timers that are still due run; what they undo is undone here as well.
+  // Pending timers still run; what they would undo is undone here too.
   this->store.set_fault(StoreFault::kNone);
   for (const auto& link : this->store_links) link->set({});
   for (const auto& relay : this->relays) {
@@ -531,29 +531,29 @@
     engine->link().set({});
   }
   this->callers->set_cancel_share(0);
-  // Engines that drain end first; all are there again after that.
+  // Draining engines stop first; all are restarted after that.
   this->wait(6s);
   for (const auto& engine : this->engines) {
     if (!engine->running()) engine->start();
   }
 }
 
-/// Waits for what must come true rather than for a time, so that a slow machine gives the same
-/// verdict.
+/// Waits for conditions instead of fixed times, so that the result does not depend on speed.
 void SoakSite::check_recovery() {
   if (!this->wait_until([this] { return this->all_ready(); }, kRecoveryTimeout)) {
-    this->ledger.add_violation("RECOVER", "not all relays are ready after all is healed");
+    this->ledger.add_violation("RECOVER", "not all relays are ready after the faults were cleared");
   }
   const auto end = std::chrono::steady_clock::now() + kRecoveryTimeout;
   while (!this->serves_normally()) {
     if (std::chrono::steady_clock::now() < end) continue;
-    this->ledger.add_violation("RECOVER", "calm again, and never a stretch served well");
+    this->ledger.add_violation("RECOVER",
+                               "no interval was served normally after the faults were cleared");
     break;
   }
   this->check_configuration();
 }
 
-/// @return whether nearly all of the requests that end in the next stretch are whole.
+/// @return whether nearly all requests that end in the next interval complete.
 bool SoakSite::serves_normally() {
   const CallerCounts before = this->counts();
   this->wait(2s);
@@ -564,7 +564,7 @@
   return completed >= 50 && unsuccessful <= completed * 0.02;
 }
 
-/// A route that is added now is served by every relay in the end.
+/// Every relay must eventually serve a newly added route.
 void SoakSite::check_configuration() {
   this->put_configuration();
   const std::string target = "/added" + std::to_string(this->version) + "/";
--- a/tests/platform/support/soak_site.hpp
+++ b/tests/platform/support/soak_site.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A whole site for a soak: real relay processes before stand-ins, and the faults done to them.
+/// Soak test site: real relay processes with fake engines and store, and fault injection.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -19,35 +19,35 @@
 
 namespace shuntbank::testing {
 
-/// What a soak runs.
+/// Options of one soak run.
 struct SoakOptions {
-  std::string program;  ///< Of the relay.
+  std::string program;  ///< Path of the relay program.
   std::string folder;   ///< For settings and logs.
   std::uint64_t seed = 1;
   std::chrono::seconds fault_duration{30};
   std::size_t relay_count = 5;
   std::size_t caller_count = 40;
-  bool crashing_requests =
-      false;            ///< A request comes again and again that ends each engine that runs it.
+  /// Keeps sending a request that crashes each engine that runs it.
+  bool crashing_requests = false;
   bool storms = false;  ///< Large configurations in quick succession, over slow links to the store.
-  /// Engines leave while the store is silent, turn all away by halves, and lose their entries.
+  /// Engines drain during store outages, half of them shed all requests, and registrations lapse.
   bool engine_notices = false;
-  /// Engines name how many requests a second they take: steady, falling, rising, none, by halves.
+  /// Engines announce request rate limits: steady, falling, rising, zero, or half of them at once.
   bool engine_limits = false;
-  /// Of an earlier version, for which nodes are replaced one after the other, and back; may be
-  /// empty. Its nodes are not held to limits.
+  /// Path of an earlier version for a rolling downgrade and upgrade; may be empty. Engine limits
+  /// are not checked for its nodes.
   std::string previous_program;
 
   bool operator==(const SoakOptions&) const = default;
 };
 
-/// One run. All of it, but for the relays, is one loop on one thread.
+/// One soak run. Everything but the relays runs on one event loop in one thread.
 class SoakSite {
  public:
   explicit SoakSite(const SoakOptions& options);
   ~SoakSite();
 
-  /// Runs the faults that the seed draws, then heals all and checks that the site recovers.
+  /// Injects faults chosen by the seed, then clears them and checks that the site recovers.
   void run();
 
   const Ledger& result() const { return this->ledger; }
@@ -93,7 +93,7 @@
   Ledger ledger;
   StoreStandin store;
   std::vector<std::unique_ptr<EngineStandin>> engines;
-  std::vector<std::unique_ptr<FaultProxy>> store_links;  ///< One for each relay.
+  std::vector<std::unique_ptr<FaultProxy>> store_links;  ///< One per relay.
   std::vector<std::unique_ptr<RelayChild>> relays;
   std::unique_ptr<Callers> callers;
   std::vector<std::shared_ptr<asio::steady_timer>> timers;
@@ -101,12 +101,12 @@
   std::vector<std::string> fault_log;
   std::uint64_t version = 0;
   bool bootstrap = true;
-  std::mt19937_64 crash_random;   ///< Of its own: the other faults of a seed stay as they are.
-  std::mt19937_64 storm_random;   ///< The same.
-  std::mt19937_64 notice_random;  ///< The same.
-  std::mt19937_64 limit_random;   ///< The same.
+  std::mt19937_64 crash_random;  ///< Separate generators, so that options do not shift `random`.
+  std::mt19937_64 storm_random;
+  std::mt19937_64 notice_random;
+  std::mt19937_64 limit_random;
   std::size_t upgrades = 0;
-  std::chrono::steady_clock::time_point disturbed_until{};  ///< A relay or the store.
+  std::chrono::steady_clock::time_point disturbed_until{};  ///< Of relays or store.
   bool healed = false;
 };
 
--- a/tests/platform/support/store_standin.cpp
+++ b/tests/platform/support/store_standin.cpp
@@ -75,11 +75,11 @@
 
 void StoreStandin::list(const std::string& kind, const HttpRequest& request,
                         const Responder& responder) {
-  constexpr std::size_t kPage = 5;  // Small, so that lists take several calls.
+  constexpr std::size_t kPage = 5;  // Small, to exercise paging.
   json items = json::array();
   const auto& objects = this->kinds[kind];
   auto next = objects.upper_bound(request.query_value("after"));
-  // What has changed since is left out of an old answer; a watch from there brings it.
+  // A stale list omits later changes; a watch from its revision delivers them.
   const std::uint64_t visible = this->visible_revision(request);
   for (; next != objects.end() && items.size() < kPage; ++next) {
     if (next->second.at("meta").at("revision") <= visible) items.push_back(next->second);
--- a/tests/platform/support/store_standin.hpp
+++ b/tests/platform/support/store_standin.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A store that speaks the platform's published protocol, with faults that tests switch on.
+/// Fake store for the platform's protocol, with fault injection.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,10 +16,10 @@
 
 namespace shuntbank::testing {
 
-/// What the store does to calls.
+/// How the store mishandles calls.
 enum class StoreFault { kNone, kBusy, kSilent, kResetting, kLosingWrites };
 
-/// The store.
+/// In-memory object store with list, watch and conditional writes.
 class StoreStandin {
  public:
   explicit StoreStandin(asio::io_context& loop);
@@ -29,10 +29,10 @@
 
   void set_fault(StoreFault fault);
 
-  /// Drops the history: a watch from before gets 410.
+  /// Makes watches from earlier revisions fail with 410.
   void drop_history();
 
-  /// The operator or an engine writes.
+  /// Writes on behalf of the operator or an engine.
   void put(const std::string& kind, const std::string& name, const nlohmann::json& spec);
   void remove(const std::string& kind, const std::string& name);
 
@@ -63,8 +63,8 @@
   nlohmann::json& store_object(const std::string& kind, const std::string& name,
                                const nlohmann::json& spec);
   void record(const std::string& kind, const nlohmann::json& object, bool removed);
-  /// @return the revision up to which a call sees changes: the present one, or for a call that
-  /// takes old answers the one of `kLag` ago.
+  /// @return the revision up to which a call sees changes: the current one, or for a stale read
+  /// the one of `kStaleReadAge` ago.
   std::uint64_t visible_revision(const HttpRequest& request) const;
   nlohmann::json events_between(const std::string& kind, std::uint64_t after,
                                 std::uint64_t last) const;
@@ -72,10 +72,10 @@
   void answer(Watch& watch);
   std::uint64_t stale_revision() const;
   nlohmann::json visible_events(const Watch& watch) const;
-  /// Old answers hear of a change when it has become old.
+  /// Answers stale watches once the change is old enough.
   void schedule_stale_watches();
 
-  /// Age of what calls see that take old answers.
+  /// Age of the state that stale reads see.
   static constexpr std::chrono::milliseconds kStaleReadAge{900};
 
   asio::io_context& loop;
@@ -85,7 +85,7 @@
   std::deque<Event> history;
   std::list<Watch> watches;
   std::shared_ptr<bool> lifetime_token = std::make_shared<bool>(true);
-  std::vector<Responder> unanswered;  ///< Calls that get no answer.
+  std::vector<Responder> unanswered;  ///< Calls left without an answer.
   std::uint64_t revision = 1;
   std::uint64_t oldest_watchable = 0;
 };
