--- a/tests/platform/support/engine_standin.hpp
+++ b/tests/platform/support/engine_standin.hpp
@@ -70,7 +70,7 @@
   }
 
   /// Notices of the engine may have been lost.
-  void link_disturbed() { this->ledger.link_disturbed(this->id); }
+  void on_link_disturbed() { this->ledger.on_link_disturbed(this->id); }
 
   bool running() const { return this->server != nullptr; }
   FaultProxy& link() { return *this->proxy; }
--- a/tests/platform/support/ledger.cpp
+++ b/tests/platform/support/ledger.cpp
@@ -49,12 +49,10 @@
 void Ledger::on_answer_received(const std::string& id, int status, const std::string& seal,
                                 const std::string& body) {
   const SentRequest* request = this->find(id);
-  if (request == nullptr)
-    return this->add_violation("MIXED", "answer to an unknown request: " + id);
+  if (request == nullptr) return this->add_violation("MIXED", "answer to unknown id: " + id);
   if (means_not_run(status) && !request->repeatable) {
-    this->refused_as_not_run[id] = true;
-    if (this->count_runs(id) > 0)
-      this->add_violation("REFUSED", id + " was refused as not run, but had run");
+    this->refused[id] = true;
+    if (this->count_runs(id) > 0) this->add_violation("REFUSED", id + " ran before refusal");
   }
   const bool success = status >= 200 && status < 300;
   if (seal.empty()) {
@@ -66,11 +64,10 @@
     return this->add_violation("MIXED", id + ": seal that no engine issued");
   }
   if (answer->second.request != id) this->add_violation("MIXED", id + ": another request's answer");
-  if (answer->second.status != status)
-    this->add_violation("MIXED", id + ": status differs from the engine's");
+  if (answer->second.status != status) this->add_violation("MIXED", id + ": wrong status");
   // Bodies of streams are checked per event.
   if (request->event_count == 0 && answer->second.body != body) {
-    this->add_violation("MIXED", id + ": body differs from the engine's");
+    this->add_violation("MIXED", id + ": wrong body");
   }
 }
 
@@ -134,10 +131,10 @@
   if (this->arrival_counts[id]++ == 0 && !prefill_only) return;
   const SteadyTime now = std::chrono::steady_clock::now();
   this->arrivals[service].repeats.push_back(now);
-  this->check_budget(service, now);
+  this->check_retry_budget(service, now);
 }
 
-void Ledger::check_budget(const std::string& service, SteadyTime now) {
+void Ledger::check_retry_budget(const std::string& service, SteadyTime now) {
   Arrivals& of_service = this->arrivals[service];
   const auto within = [now](const std::deque<SteadyTime>& times, std::chrono::milliseconds from,
                             std::chrono::milliseconds to) {
@@ -166,8 +163,7 @@
   if (request->service != service) this->add_violation("ROUTE", id + " ran at " + service);
   const std::uint64_t count = ++this->run_counts[id];
   if (count > 1 && !request->repeatable) this->add_violation("TWICE", id);
-  if (this->refused_as_not_run.count(id) > 0)
-    this->add_violation("REFUSED", id + " was refused as not run, but runs later");
+  if (this->refused.count(id) > 0) this->add_violation("REFUSED", id + " ran after refusal");
 }
 
 std::string Ledger::seal_answer(const EngineAnswer& answer) {
--- a/tests/platform/support/ledger.hpp
+++ b/tests/platform/support/ledger.hpp
@@ -108,7 +108,7 @@
 
   // Faults.
   /// A node was restarted, stalled or resumed.
-  void node_disturbed(const std::string& node) {
+  void on_node_disturbed(const std::string& node) {
     this->notices.excuse_node(node);
     this->limits.excuse_node(node);
   }
@@ -117,7 +117,7 @@
     this->limits.set_unaware(node, unaware);
   }
   /// The link between an engine and the nodes was faulty.
-  void link_disturbed(const std::string& engine) { this->notices.excuse_rests(engine); }
+  void on_link_disturbed(const std::string& engine) { this->notices.excuse_rests(engine); }
 
   void add_violation(const std::string& rule, const std::string& what);
 
@@ -141,12 +141,12 @@
     SteadyTime third_crash_at{};  ///< When `kCrashLimit` was reached.
     std::size_t late_sends = 0;
   };
-  void check_budget(const std::string& service, SteadyTime now);
+  void check_retry_budget(const std::string& service, SteadyTime now);
 
   RetryBound bound;
   std::map<std::string, SentRequest> requests;
   std::map<std::string, std::uint64_t> run_counts;
-  std::map<std::string, bool> refused_as_not_run;
+  std::map<std::string, bool> refused;
   std::map<std::string, EngineAnswer> answers_by_seal;
   std::map<std::string, std::string> handles;
   std::map<std::string, std::map<std::uint64_t, std::string>> fence_holders;
--- a/tests/platform/support/soak_site.cpp
+++ b/tests/platform/support/soak_site.cpp
@@ -182,7 +182,7 @@
 void SoakSite::keep_relays_running() {
   for (const auto& relay : this->relays) {
     if (relay->running()) continue;
-    this->ledger.node_disturbed(relay->caller_address());
+    this->ledger.on_node_disturbed(relay->caller_address());
     const bool previous = relay->next_program() == this->options.previous_program;
     this->ledger.set_unaware_of_limits(relay->caller_address(), previous);
     relay->start(this->bootstrap);
@@ -212,14 +212,14 @@
   if (this->options.storms) this->start_storm();
   if (this->options.engine_notices) this->inject_notice_faults();
   if (this->options.engine_limits) this->inject_limit_changes();
-  if (!this->options.previous_program.empty()) this->upgrade_next();
+  if (!this->options.previous_program.empty()) this->switch_next_program();
   this->wait(2s);
   const auto end = std::chrono::steady_clock::now() + this->options.fault_duration;
   while (std::chrono::steady_clock::now() < end) {
     this->inject_fault();
     this->wait(std::chrono::milliseconds(300 + this->draw(1500)));
   }
-  this->heal();
+  this->clear_faults();
   if (this->options.crashing_requests) this->check_crashing_request();
   this->check_recovery();
   this->callers->stop();
@@ -245,19 +245,19 @@
     case 0:
     case 1:
       this->log_fault("kill " + name);
-      this->ledger.node_disturbed(relay.caller_address());
+      this->ledger.on_node_disturbed(relay.caller_address());
       return relay.send_signal(SIGKILL);
     case 2:
     case 3:
       this->log_fault("pause " + name + " for " + std::to_string(duration.count()) + " ms");
       relay.send_signal(SIGSTOP);
       return this->schedule(duration, [this, &relay] {
-        this->ledger.node_disturbed(relay.caller_address());
+        this->ledger.on_node_disturbed(relay.caller_address());
         relay.send_signal(SIGCONT);
       });
     case 4:
       this->log_fault("stop " + name);
-      this->ledger.node_disturbed(relay.caller_address());
+      this->ledger.on_node_disturbed(relay.caller_address());
       return relay.send_signal(SIGTERM);
     case 5:
       this->log_fault("reload " + name);
@@ -265,7 +265,7 @@
     case 6:
       this->log_fault("kill all relays");
       for (const auto& each : this->relays) {
-        this->ledger.node_disturbed(each->caller_address());
+        this->ledger.on_node_disturbed(each->caller_address());
         each->send_signal(SIGKILL);
       }
       return;
@@ -347,7 +347,7 @@
     case 6:
       this->log_fault(name + " slow, its link reset and delayed from then on");
       engine.set_slowness(6);
-      engine.link_disturbed();
+      engine.on_link_disturbed();
       engine.link().reset_all();
       engine.link().set({false, false, false, kSlowLinkDelay});
       return this->schedule(duration, [&engine] {
@@ -358,14 +358,14 @@
       this->log_fault(name + " silent");
       engine.link().set({true, this->draw(2) == 0, false, 0ms});
       return this->schedule(duration, [&engine] {
-        engine.link_disturbed();
+        engine.on_link_disturbed();
         engine.link().set({});
       });
   }
 }
 
 void SoakSite::send_crashing_requests() {
-  if (this->healed) return;
+  if (this->faults_cleared) return;
   this->log_fault("crashing request sent");
   this->callers->send_crashing_request(kCrashingRequest);
   this->schedule(std::chrono::milliseconds(300 + this->crash_random() % 3000),
@@ -387,7 +387,7 @@
 }
 
 void SoakSite::inject_notice_faults() {
-  if (this->healed) return;
+  if (this->faults_cleared) return;
   const std::chrono::milliseconds duration(1000 + this->notice_random() % 4000);
   const std::size_t index = this->notice_random() % this->engines.size();
   EngineStandin& engine = *this->engines[index];
@@ -407,7 +407,7 @@
 /// Half of the time a limit changes in steps; finally it is removed, or stays until the engine
 /// restarts.
 void SoakSite::inject_limit_changes() {
-  if (this->healed) return;
+  if (this->faults_cleared) return;
   constexpr double kLimits[] = {0, 0.5, 1.3, 5, 20, 50};
   const double limit = kLimits[this->limit_random() % std::size(kLimits)];
   const std::uint64_t kind = this->limit_random() % 4;
@@ -446,19 +446,19 @@
 }
 
 /// Switches the nodes one by one to the earlier program, then back.
-void SoakSite::upgrade_next() {
-  if (this->healed) return;
+void SoakSite::switch_next_program() {
+  if (this->faults_cleared) return;
   const std::size_t count = this->relays.size();
-  RelayChild& relay = *this->relays[this->upgrades % count];
-  const bool to_previous = this->upgrades / count % 2 == 0;
-  ++this->upgrades;
+  RelayChild& relay = *this->relays[this->switch_count % count];
+  const bool to_previous = this->switch_count / count % 2 == 0;
+  ++this->switch_count;
   this->log_fault((to_previous ? "other program at " : "program at ") + relay.config().name);
   relay.set_program(to_previous ? this->options.previous_program : this->options.program);
-  this->ledger.node_disturbed(relay.caller_address());
+  this->ledger.on_node_disturbed(relay.caller_address());
   relay.send_signal(SIGTERM);
   const std::chrono::milliseconds interval =
       this->options.fault_duration / (2 * static_cast<int>(count));
-  this->schedule(interval, [this] { this->upgrade_next(); });
+  this->schedule(interval, [this] { this->switch_next_program(); });
 }
 
 /// The engine keeps serving for a while after the store has accepted its draining state.
@@ -513,18 +513,18 @@
   }
 }
 
-void SoakSite::heal() {
-  this->healed = true;
+void SoakSite::clear_faults() {
+  this->faults_cleared = true;
   this->timers.clear();
   // Pending timers still run; what they would undo is undone here too.
   this->store.set_fault(StoreFault::kNone);
   for (const auto& link : this->store_links) link->set({});
   for (const auto& relay : this->relays) {
-    this->ledger.node_disturbed(relay->caller_address());
+    this->ledger.on_node_disturbed(relay->caller_address());
     relay->send_signal(SIGCONT);
   }
   for (const auto& engine : this->engines) {
-    engine->link_disturbed();
+    engine->on_link_disturbed();
     engine->set_fault(EngineFault::kNone, 0);
     engine->set_slowness(1);
     engine->set_limit({});
--- a/tests/platform/support/soak_site.hpp
+++ b/tests/platform/support/soak_site.hpp
@@ -74,13 +74,13 @@
   void inject_notice_faults();
   void inject_limit_changes();
   void change_limit(std::size_t index, double per_second, int steps, double factor);
-  void upgrade_next();
+  void switch_next_program();
   void drain_during_store_outage(EngineStandin& engine);
   void shed_at_half_the_engines(std::chrono::milliseconds duration);
   void crash_and_restart(EngineStandin& engine);
   bool undisturbed() const;
   void check_crashing_request();
-  void heal();
+  void clear_faults();
   void check_recovery();
   bool serves_normally();
   void check_configuration();
@@ -105,9 +105,9 @@
   std::mt19937_64 storm_random;
   std::mt19937_64 notice_random;
   std::mt19937_64 limit_random;
-  std::size_t upgrades = 0;
+  std::size_t switch_count = 0;
   std::chrono::steady_clock::time_point disturbed_until{};  ///< Of relays or store.
-  bool healed = false;
+  bool faults_cleared = false;
 };
 
 }  // namespace shuntbank::testing
