--- a/src/core/admission/fair_queue.cpp
+++ b/src/core/admission/fair_queue.cpp
@@ -12,10 +12,10 @@
 
 bool FairQueue::push(const QueueItem& item) {
   if (size_ >= max_items_) return false;
-  if (tenants_.size() >= kMaxIdleTenants) forget_idle_tenants();
+  if (tenants_.size() >= kMaxIdleTenants) expire_idle_tenants();
   TenantState& tenant = tenants_[item.tenant];
   // A tenant that was idle starts at the present; it saves up no claim on the past.
-  if (tenant.count == 0) tenant.finish = std::max(tenant.finish, virtual_time_);
+  if (tenant.count == 0) tenant.virtual_finish = std::max(tenant.virtual_finish, virtual_time_);
   tenant.waiting[item.priority].push_back(item);
   ++tenant.count;
   ++size_;
@@ -29,7 +29,7 @@
     if (tenant.count == 0) continue;
     const std::int32_t priority = tenant.waiting.begin()->first;
     const bool better = best == nullptr || priority > best_priority ||
-                        (priority == best_priority && tenant.finish < best->finish);
+                        (priority == best_priority && tenant.virtual_finish < best->virtual_finish);
     if (!better) continue;
     best = &tenant;
     best_priority = priority;
@@ -41,8 +41,8 @@
   if (items.empty()) best->waiting.erase(best->waiting.begin());
   --best->count;
   --size_;
-  virtual_time_ = std::max(virtual_time_, best->finish);
-  best->finish += item.cost / item.weight;
+  virtual_time_ = std::max(virtual_time_, best->virtual_finish);
+  best->virtual_finish += item.cost / item.weight;
   return item;
 }
 
@@ -76,9 +76,11 @@
   return expired;
 }
 
-void FairQueue::settle(const TenantName& tenant, double weight, double estimated, double actual) {
+void FairQueue::correct_cost(const TenantName& tenant, double weight, double estimated_cost,
+                             double actual_cost) {
   const auto found = tenants_.find(tenant);
-  if (found != tenants_.end()) found->second.finish += (actual - estimated) / weight;
+  if (found != tenants_.end())
+    found->second.virtual_finish += (actual_cost - estimated_cost) / weight;
 }
 
 std::size_t FairQueue::size_of(const TenantName& tenant) const {
@@ -86,9 +88,9 @@
   return found == tenants_.end() ? 0 : found->second.count;
 }
 
-void FairQueue::forget_idle_tenants() {
+void FairQueue::expire_idle_tenants() {
   std::erase_if(tenants_, [this](const auto& entry) {
-    return entry.second.count == 0 && entry.second.finish <= virtual_time_;
+    return entry.second.count == 0 && entry.second.virtual_finish <= virtual_time_;
   });
 }
 
--- a/src/core/admission/fair_queue.hpp
+++ b/src/core/admission/fair_queue.hpp
@@ -44,19 +44,20 @@
   std::vector<QueueItem> take_expired(MonotonicTime now);
 
   /// Corrects a tenant's share once the true cost of a served request is known.
-  void settle(const TenantName& tenant, double weight, double estimated, double actual);
+  void correct_cost(const TenantName& tenant, double weight, double estimated_cost,
+                    double actual_cost);
 
   std::size_t size() const { return size_; }
   std::size_t size_of(const TenantName& tenant) const;
 
  private:
   struct TenantState {
-    double finish = 0;  ///< Virtual time up to which this tenant was served.
+    double virtual_finish = 0;  ///< Virtual time up to which this tenant was served.
     std::map<std::int32_t, std::deque<QueueItem>, std::greater<>> waiting;  ///< By priority.
     std::size_t count = 0;
   };
 
-  void forget_idle_tenants();
+  void expire_idle_tenants();
 
   std::size_t max_items_;
   std::size_t size_ = 0;
--- a/src/core/admission/tenant_limiter.cpp
+++ b/src/core/admission/tenant_limiter.cpp
@@ -18,8 +18,8 @@
 }
 
 /// A bucket holds at least one request, however small the share of the limit.
-double bucket_size(double rate, double least) {
-  return std::max(rate * kBurstSeconds, least);
+double bucket_size(double rate, double min_size) {
+  return std::max(rate * kBurstSeconds, min_size);
 }
 
 Duration time_until(double missing, double rate) {
@@ -33,16 +33,16 @@
   const double token_rate = rate_per_second(static_cast<double>(limits.tokens_per_minute), share_);
   const double request_bucket = bucket_size(request_rate, 1.0);
   const double token_bucket = bucket_size(token_rate, 0.0);
-  if (!account.started) {
+  if (!account.initialized) {
     // What an earlier life of the process admitted is not known: a bucket fills from the start of
     // the process. One request is let in, so that a node which has just started turns nobody away.
-    account.started = true;
-    account.filled_at = started_;
+    account.initialized = true;
+    account.refilled_at = started_;
     account.requests = 1;
     account.tokens = 1;
   }
-  const double elapsed = to_seconds(now - account.filled_at);
-  account.filled_at = now;
+  const double elapsed = to_seconds(now - account.refilled_at);
+  account.refilled_at = now;
   account.requests = std::min(request_bucket, account.requests + elapsed * request_rate);
   account.tokens = std::min(token_bucket, account.tokens + elapsed * token_rate);
 }
@@ -53,8 +53,8 @@
   Account& account = accounts_[tenant];
   refill(now, account, limits);
   if (limits.concurrent_requests > 0) {
-    const double most = std::ceil(limits.concurrent_requests * share_);
-    if (account.in_flight >= most) {
+    const double max_in_flight = std::ceil(limits.concurrent_requests * share_);
+    if (account.in_flight >= max_in_flight) {
       return LimitRefusal{LimitKind::kConcurrency, kConcurrencyRetry};
     }
   }
--- a/src/core/admission/tenant_limiter.hpp
+++ b/src/core/admission/tenant_limiter.hpp
@@ -45,8 +45,8 @@
     double requests = 0;
     double tokens = 0;
     std::uint32_t in_flight = 0;
-    MonotonicTime filled_at{};
-    bool started = false;
+    MonotonicTime refilled_at{};
+    bool initialized = false;
   };
 
   void refill(MonotonicTime now, Account& account, const TenantLimits& limits) const;
--- a/src/core/capacity/capacity_planner.cpp
+++ b/src/core/capacity/capacity_planner.cpp
@@ -10,7 +10,7 @@
 namespace shuntbank::capacity {
 namespace {
 
-std::uint32_t rounded_up(std::uint32_t all, std::size_t parts) {
+std::uint32_t divide_rounding_up(std::uint32_t all, std::size_t parts) {
   const auto divisor = static_cast<std::uint32_t>(std::max<std::size_t>(parts, 1));
   return (all + divisor - 1) / divisor;
 }
@@ -21,7 +21,7 @@
 }
 
 /// @return the zones, those where engines are cheapest first.
-std::vector<ZoneName> by_price(const EngineScale& scale, const EnginesByZone& present) {
+std::vector<ZoneName> zones_by_price(const EngineScale& scale, const EnginesByZone& present) {
   std::vector<ZoneName> zones;
   for (const auto& [zone, engines] : present) zones.push_back(zone);
   std::stable_sort(zones.begin(), zones.end(), [&](const ZoneName& left, const ZoneName& right) {
@@ -30,13 +30,14 @@
   return zones;
 }
 
-constexpr std::pair<BuyingWay, const char*> kWays[] = {{BuyingWay::kNone, "none"},
-                                                       {BuyingWay::kSpotSwap, "spot-swap"},
-                                                       {BuyingWay::kSpotSpare, "spot-spare"}};
+constexpr std::pair<SpotStrategy, const char*> kStrategies[] = {
+    {SpotStrategy::kNone, "none"},
+    {SpotStrategy::kSpotSwap, "spot-swap"},
+    {SpotStrategy::kSpotSpare, "spot-spare"}};
 
 }  // namespace
 
-ZoneEngines in_all(const EnginesByZone& present) {
+ZoneEngines total_engines(const EnginesByZone& present) {
   ZoneEngines sum;
   for (const auto& [zone, engines] : present) {
     sum.full += engines.full;
@@ -45,81 +46,86 @@
   return sum;
 }
 
-std::istream& operator>>(std::istream& in, BuyingWay& way) {
+std::istream& operator>>(std::istream& in, SpotStrategy& strategy) {
   std::string name;
   in >> name;
-  for (const auto& [known, text] : kWays) {
+  for (const auto& [known, text] : kStrategies) {
     if (name != text) continue;
-    way = known;
+    strategy = known;
     return in;
   }
   in.setstate(std::ios::failbit);
   return in;
 }
 
-std::ostream& operator<<(std::ostream& out, BuyingWay way) {
-  for (const auto& [known, text] : kWays) {
-    if (known == way) return out << text;
+std::ostream& operator<<(std::ostream& out, SpotStrategy strategy) {
+  for (const auto& [known, text] : kStrategies) {
+    if (known == strategy) return out << text;
   }
   return out;
 }
 
-void CapacityPlanner::on_none_there(MonotonicTime now, const Purchase& purchase) {
-  this->none_until[purchase] = now + this->settings.asked_again;
+void CapacityPlanner::on_unavailable(MonotonicTime now, const Purchase& purchase) {
+  this->unavailable_until[purchase] = now + this->settings.unavailable_retry_interval;
 }
 
-bool CapacityPlanner::may_ask(MonotonicTime now, const Purchase& purchase) const {
-  const auto until = this->none_until.find(purchase);
-  return until == this->none_until.end() || now >= until->second;
+bool CapacityPlanner::may_request(MonotonicTime now, const Purchase& purchase) const {
+  const auto until = this->unavailable_until.find(purchase);
+  return until == this->unavailable_until.end() || now >= until->second;
 }
 
 /// @return engines at full price that are kept in any case.
-std::uint32_t CapacityPlanner::floor(const EngineScale& scale, std::uint32_t needed) const {
-  const bool pays = scale.spot_price && *scale.spot_price < this->settings.dearest_spot;
-  if (!pays) return needed;
-  return static_cast<std::uint32_t>(std::ceil(this->settings.full_floor * needed));
+std::uint32_t CapacityPlanner::min_full_price_engines(const EngineScale& scale,
+                                                      std::uint32_t needed) const {
+  const bool spot_worthwhile =
+      scale.spot_price && *scale.spot_price < this->settings.max_spot_price;
+  if (!spot_worthwhile) return needed;
+  return static_cast<std::uint32_t>(std::ceil(this->settings.min_full_price_share * needed));
 }
 
 /// @return spot engines for each zone.
-std::uint32_t CapacityPlanner::spot_wanted(const EngineScale& scale, std::uint32_t needed,
+std::uint32_t CapacityPlanner::spot_target(const EngineScale& scale, std::uint32_t needed,
                                            std::size_t zones) const {
-  const std::uint32_t cheap = needed - std::min(needed, this->floor(scale, needed));
-  const bool spare = this->settings.way == BuyingWay::kSpotSpare && zones > 1;
-  return rounded_up(cheap, spare ? zones - 1 : zones);
+  const std::uint32_t spot_share =
+      needed - std::min(needed, this->min_full_price_engines(scale, needed));
+  const bool spare = this->settings.strategy == SpotStrategy::kSpotSpare && zones > 1;
+  return divide_rounding_up(spot_share, spare ? zones - 1 : zones);
 }
 
 /// What the spot engines that serve now leave to be had at full price. More is wanted at once, less
 /// only once it has stood for a while.
-std::uint32_t CapacityPlanner::full_wanted(MonotonicTime now, const EngineScale& scale,
-                                           std::uint32_t needed, const EnginesByZone& present) {
-  const auto [full, spot] = in_all(present);
+std::uint32_t CapacityPlanner::full_price_target(MonotonicTime now, const EngineScale& scale,
+                                                 std::uint32_t needed,
+                                                 const EnginesByZone& present) {
+  const auto [full, spot] = total_engines(present);
   const std::uint32_t wanted =
-      std::max(this->floor(scale, needed), needed - std::min(needed, spot));
+      std::max(this->min_full_price_engines(scale, needed), needed - std::min(needed, spot));
   if (wanted >= full) {
     this->surplus_since.reset();
     return wanted;
   }
   if (!this->surplus_since) this->surplus_since = now;
-  return now - *this->surplus_since >= this->settings.surplus_stands ? wanted : full;
+  return now - *this->surplus_since >= this->settings.surplus_release_delay ? wanted : full;
 }
 
 /// Engines that are there stay where they are, as their caches are worth something; more are had
 /// where they are cheapest, and given back where they are dearest.
-void CapacityPlanner::spread_full(MonotonicTime now, const EngineScale& scale, std::uint32_t wanted,
-                                  const EnginesByZone& present, Purchases& plan) const {
-  const std::vector<ZoneName> zones = by_price(scale, present);
+void CapacityPlanner::place_full_price(MonotonicTime now, const EngineScale& scale,
+                                       std::uint32_t wanted, const EnginesByZone& present,
+                                       Purchases& plan) const {
+  const std::vector<ZoneName> zones = zones_by_price(scale, present);
   std::uint32_t left = wanted;
   for (const ZoneName& zone : zones) {
-    const std::uint32_t kept = std::min(left, present.at(zone).full);
-    plan[{zone, false}] = kept;
-    left -= kept;
+    const std::uint32_t retained = std::min(left, present.at(zone).full);
+    plan[{zone, false}] = retained;
+    left -= retained;
   }
   for (const ZoneName& zone : zones) {
     const Purchase purchase{zone, false};
-    if (left == 0 || !this->may_ask(now, purchase)) continue;
-    const std::uint32_t room =
-        scale.most - std::min(scale.most, plan[purchase] + present.at(zone).spot);
-    const std::uint32_t more = std::min(left, room);
+    if (left == 0 || !this->may_request(now, purchase)) continue;
+    const std::uint32_t headroom =
+        scale.max_engines - std::min(scale.max_engines, plan[purchase] + present.at(zone).spot);
+    const std::uint32_t more = std::min(left, headroom);
     plan[purchase] += more;
     left -= more;
   }
@@ -128,17 +134,19 @@
 Purchases CapacityPlanner::plan(MonotonicTime now, const EngineScale& scale, std::uint32_t needed,
                                 const EnginesByZone& present) {
   Purchases plan;
-  if (this->settings.way == BuyingWay::kNone || scale.least > scale.most) return plan;
-  const std::uint32_t spot = this->spot_wanted(scale, needed, present.size());
-  this->spread_full(now, scale, this->full_wanted(now, scale, needed, present), present, plan);
+  if (this->settings.strategy == SpotStrategy::kNone || scale.min_engines > scale.max_engines)
+    return plan;
+  const std::uint32_t spot = this->spot_target(scale, needed, present.size());
+  this->place_full_price(now, scale, this->full_price_target(now, scale, needed, present), present,
+                         plan);
   for (const auto& [zone, engines] : present) {
     const Purchase purchase{zone, true};
     // Both together stay within the limits, also while those at full price are still there.
     const std::uint32_t full = std::max(engines.full, plan[{zone, false}]);
-    const std::uint32_t room = scale.most - std::min(scale.most, full);
-    if (scale.spot_price) plan[purchase] = std::min(spot, room);
+    const std::uint32_t headroom = scale.max_engines - std::min(scale.max_engines, full);
+    if (scale.spot_price) plan[purchase] = std::min(spot, headroom);
     const std::uint32_t both = plan[{zone, false}] + (scale.spot_price ? plan[purchase] : 0);
-    if (both < scale.least) plan[{zone, false}] += scale.least - both;
+    if (both < scale.min_engines) plan[{zone, false}] += scale.min_engines - both;
   }
   return plan;
 }
--- a/src/core/capacity/capacity_planner.hpp
+++ b/src/core/capacity/capacity_planner.hpp
@@ -17,8 +17,8 @@
 
 /// What the operator allows and pays for the engines of one service.
 struct EngineScale {
-  std::uint32_t least = 1;                 ///< In each zone, of both prices together.
-  std::uint32_t most = 1;                  ///< The same.
+  std::uint32_t min_engines = 1;           ///< In each zone, of both prices together.
+  std::uint32_t max_engines = 1;           ///< The same.
   Duration startup = Duration::zero();     ///< From an order until a new engine serves.
   std::optional<double> spot_price;        ///< Of the full price; unset: there are no such engines.
   std::map<ZoneName, double> zone_prices;  ///< Of an engine at full price, for each second.
@@ -37,7 +37,7 @@
 using EnginesByZone = std::map<ZoneName, ZoneEngines>;
 
 /// @return the engines of all zones together.
-ZoneEngines in_all(const EnginesByZone& present);
+ZoneEngines total_engines(const EnginesByZone& present);
 
 /// Engines of one price in one zone.
 struct Purchase {
@@ -51,30 +51,30 @@
 using Purchases = std::map<Purchase, std::uint32_t>;
 
 /// How engines are bought.
-enum class BuyingWay {
+enum class SpotStrategy {
   kNone,       ///< Nothing is ordered.
   kSpotSwap,   ///< As many spot engines as the service needs, without regard to their loss.
   kSpotSpare,  ///< So many that the service has what it needs while any one zone's are lost.
 };
 
 /// Reads and writes the names `none`, `spot-swap` and `spot-spare`.
-std::istream& operator>>(std::istream& in, BuyingWay& way);
-std::ostream& operator<<(std::ostream& out, BuyingWay way);
+std::istream& operator>>(std::istream& in, SpotStrategy& strategy);
+std::ostream& operator<<(std::ostream& out, SpotStrategy strategy);
 
 /// Tunables of the planner.
 struct CapacitySettings {
-  BuyingWay way = BuyingWay::kSpotSpare;
+  SpotStrategy strategy = SpotStrategy::kSpotSpare;
   /// Spot engines at no less than this part of the full price do not pay for their risk: of three
   /// zones one is spare, so that they cost one and a half times as much as they say.
-  double dearest_spot = 0.6;
+  double max_spot_price = 0.6;
   /// Of what is needed, the part that is kept at full price whatever spot engines there are: when
   /// these are taken back, what they kept in their caches goes with them.
-  double full_floor = 0.5;
+  double min_full_price_share = 0.5;
   /// Nobody is asked again for engines of which there are none, within this.
-  Duration asked_again = std::chrono::seconds(3);
+  Duration unavailable_retry_interval = std::chrono::seconds(3);
   /// Engines at full price are given back once they were too many for so long: those that start are
   /// counted a moment too early, and what is given back cannot be had again at once.
-  Duration surplus_stands = std::chrono::milliseconds(1200);
+  Duration surplus_release_delay = std::chrono::milliseconds(1200);
 };
 
 /// Plans for one service. Knows no clock: callers pass the time in.
@@ -88,22 +88,22 @@
                  const EnginesByZone& present);
 
   /// There were none of these to be had.
-  void on_none_there(MonotonicTime now, const Purchase& purchase);
+  void on_unavailable(MonotonicTime now, const Purchase& purchase);
 
   /// @return whether it makes sense to ask for these now.
-  bool may_ask(MonotonicTime now, const Purchase& purchase) const;
+  bool may_request(MonotonicTime now, const Purchase& purchase) const;
 
  private:
-  std::uint32_t floor(const EngineScale& scale, std::uint32_t needed) const;
-  std::uint32_t spot_wanted(const EngineScale& scale, std::uint32_t needed,
+  std::uint32_t min_full_price_engines(const EngineScale& scale, std::uint32_t needed) const;
+  std::uint32_t spot_target(const EngineScale& scale, std::uint32_t needed,
                             std::size_t zones) const;
-  std::uint32_t full_wanted(MonotonicTime now, const EngineScale& scale, std::uint32_t needed,
-                            const EnginesByZone& present);
-  void spread_full(MonotonicTime now, const EngineScale& scale, std::uint32_t wanted,
-                   const EnginesByZone& present, Purchases& plan) const;
+  std::uint32_t full_price_target(MonotonicTime now, const EngineScale& scale, std::uint32_t needed,
+                                  const EnginesByZone& present);
+  void place_full_price(MonotonicTime now, const EngineScale& scale, std::uint32_t wanted,
+                        const EnginesByZone& present, Purchases& plan) const;
 
   CapacitySettings settings;
-  std::map<Purchase, MonotonicTime> none_until;
+  std::map<Purchase, MonotonicTime> unavailable_until;
   std::optional<MonotonicTime> surplus_since;
 };
 
--- a/src/core/configuration/config_replica.cpp
+++ b/src/core/configuration/config_replica.cpp
@@ -6,13 +6,13 @@
 
 OfferResult ConfigReplica::offer(const ConfigDocument& document) {
   const bool first = snapshot_ == nullptr;
-  if (!first && document.revision <= document_.revision) return OfferResult::kOld;
+  if (!first && document.revision <= document_.revision) return OfferResult::kNotNewer;
   return adopt(document);
 }
 
 OfferResult ConfigReplica::offer_changes(Revision base, const ConfigDocument& changes) {
-  if (changes.revision <= document_.revision && snapshot_) return OfferResult::kOld;
-  if (base > document_.revision) return OfferResult::kPartial;
+  if (changes.revision <= document_.revision && snapshot_) return OfferResult::kNotNewer;
+  if (base > document_.revision) return OfferResult::kBaseMissing;
   ConfigDocument merged = document_;
   merged.merge(changes);
   return adopt(std::move(merged));
--- a/src/core/configuration/config_replica.hpp
+++ b/src/core/configuration/config_replica.hpp
@@ -14,9 +14,9 @@
 /// What became of an offered document.
 enum class OfferResult {
   kAdopted,
-  kOld,      ///< Not newer than what is held: nothing changes.
-  kPartial,  ///< Changes since a revision that is not held: ask for more.
-  kInvalid,  ///< Fails the check as a whole: nothing changes.
+  kNotNewer,     ///< Not newer than what is held: nothing changes.
+  kBaseMissing,  ///< Changes since a revision that is not held: ask for more.
+  kInvalid,      ///< Fails the check as a whole: nothing changes.
 };
 
 /// Holds the newest known document and the snapshot that requests are served under.
--- a/src/core/lease/lease_holder.cpp
+++ b/src/core/lease/lease_holder.cpp
@@ -8,11 +8,11 @@
     : self_(std::move(self)), settings_(settings) {}
 
 LeaseAction LeaseHolder::poll(MonotonicTime now, bool wanted, const std::string& write_id) {
-  if (busy_ || now < next_poll_) return LeaseAction::kNothing;
+  if (call_pending_ || now < next_poll_) return LeaseAction::kNothing;
   const bool holding = epoch_.has_value() && holds_seen_record();
   if (!wanted && !holding) return LeaseAction::kNothing;
-  if (!seen_known_ || write_sent_) {
-    busy_ = true;
+  if (!seen_valid_ || unconfirmed_write_at_) {
+    call_pending_ = true;
     return LeaseAction::kRead;
   }
   if (holding && wanted) {
@@ -22,9 +22,9 @@
   if (!wanted) return LeaseAction::kNothing;
   // Someone else's record, or one of ours from before a pause: wait it out from when it was first
   // seen unchanged, because its writer counts from before that moment.
-  const bool expired = seen_.version == 0 || now >= seen_changed_at_ + seen_.record.length;
+  const bool expired = seen_.version == 0 || now >= seen_changed_at_ + seen_.record.duration;
   if (!expired) {
-    busy_ = true;
+    call_pending_ = true;
     return LeaseAction::kRead;
   }
   prepare_write(now, seen_.record.epoch + 1, write_id);
@@ -36,59 +36,59 @@
 }
 
 void LeaseHolder::prepare_write(MonotonicTime now, Fence epoch, const std::string& write_id) {
-  pending_ = {seen_.version, {self_, epoch, write_id, settings_.length}};
-  write_sent_ = now;
-  busy_ = true;
+  pending_ = {seen_.version, {self_, epoch, write_id, settings_.duration}};
+  unconfirmed_write_at_ = now;
+  call_pending_ = true;
 }
 
 void LeaseHolder::on_read(MonotonicTime now, const VersionedLease& lease) {
-  busy_ = false;
-  const bool settles = write_sent_ && lease.record.write_id == pending_.record.write_id;
-  const bool changed = !seen_known_ || lease.version != seen_.version;
+  call_pending_ = false;
+  const bool confirmed = unconfirmed_write_at_ && lease.record.write_id == pending_.record.write_id;
+  const bool changed = !seen_valid_ || lease.version != seen_.version;
   if (changed) seen_changed_at_ = now;
   seen_ = lease;
-  seen_known_ = true;
-  if (settles) {
-    adopt_write(*write_sent_);
+  seen_valid_ = true;
+  if (confirmed) {
+    confirm_write(*unconfirmed_write_at_);
   } else if (changed && epoch_ && !holds_seen_record()) {
     resign();
   }
-  write_sent_.reset();
-  const bool standby = !(epoch_ && holds_seen_record());
-  next_poll_ =
-      now + (standby ? standby_every_.value_or(settings_.renew_every) : settings_.renew_every);
+  unconfirmed_write_at_.reset();
+  const bool on_standby = !(epoch_ && holds_seen_record());
+  next_poll_ = now + (on_standby ? standby_interval_.value_or(settings_.renew_interval)
+                                 : settings_.renew_interval);
 }
 
 void LeaseHolder::on_read_failed(MonotonicTime now) {
-  busy_ = false;
-  next_poll_ = now + settings_.renew_every;
+  call_pending_ = false;
+  next_poll_ = now + settings_.renew_interval;
 }
 
 void LeaseHolder::on_written(MonotonicTime now, bool applied, std::uint64_t version) {
-  busy_ = false;
-  next_poll_ = now + settings_.renew_every;
+  call_pending_ = false;
+  next_poll_ = now + settings_.renew_interval;
   if (!applied) {
     // The record is not what was believed. Read it before the next decision.
-    seen_known_ = false;
-    write_sent_.reset();
+    seen_valid_ = false;
+    unconfirmed_write_at_.reset();
     next_poll_ = now;
     return;
   }
   seen_ = {version, pending_.record};
   seen_changed_at_ = now;
-  adopt_write(*write_sent_);
-  write_sent_.reset();
+  confirm_write(*unconfirmed_write_at_);
+  unconfirmed_write_at_.reset();
 }
 
-void LeaseHolder::adopt_write(MonotonicTime sent) {
+void LeaseHolder::confirm_write(MonotonicTime sent_at) {
   epoch_ = pending_.record.epoch;
   // Counted from the sending, which is earlier than the moment the store applied it.
-  act_until_ = sent + settings_.length - settings_.margin;
+  valid_until_ = sent_at + settings_.duration - settings_.safety_margin;
 }
 
 void LeaseHolder::on_write_unanswered(MonotonicTime now) {
-  busy_ = false;
-  next_poll_ = now + settings_.renew_every;
+  call_pending_ = false;
+  next_poll_ = now + settings_.renew_interval;
 }
 
 void LeaseHolder::resign() {
@@ -96,7 +96,7 @@
 }
 
 std::optional<Fence> LeaseHolder::authority(MonotonicTime now) const {
-  if (!epoch_ || now >= act_until_) return std::nullopt;
+  if (!epoch_ || now >= valid_until_) return std::nullopt;
   return epoch_;
 }
 
--- a/src/core/lease/lease_holder.hpp
+++ b/src/core/lease/lease_holder.hpp
@@ -17,7 +17,7 @@
   NodeId holder;
   Fence epoch = 0;
   std::string write_id;  ///< Chosen by the writer for each write; settles a lost answer.
-  Duration length{0};    ///< How long the holder may act after it sent this write.
+  Duration duration{0};  ///< How long the holder may act after it sent this write.
 
   bool operator==(const LeaseRecord&) const = default;
 };
@@ -30,9 +30,10 @@
 
 /// Bounds of a lease.
 struct LeaseSettings {
-  Duration length = std::chrono::seconds(10);
-  Duration renew_every = std::chrono::seconds(3);
-  Duration margin = std::chrono::seconds(2);  ///< A holder stops this long before the lease ends.
+  Duration duration = std::chrono::seconds(10);
+  Duration renew_interval = std::chrono::seconds(3);
+  Duration safety_margin =
+      std::chrono::seconds(2);  ///< A holder stops this long before the lease ends.
 };
 
 /// What the driver does next for one lease.
@@ -66,7 +67,7 @@
 
   /// Sets how often a node that does not hold the lease reads it. A long interval only delays that
   /// this node takes the lease over.
-  void set_standby_interval(Duration interval) { standby_every_ = interval; }
+  void set_standby_interval(Duration interval) { standby_interval_ = interval; }
 
   /// Gives the lease up: no order may be sent from here on.
   void resign();
@@ -83,20 +84,20 @@
  private:
   bool holds_seen_record() const;
   void prepare_write(MonotonicTime now, Fence epoch, const std::string& write_id);
-  void adopt_write(MonotonicTime sent);
+  void confirm_write(MonotonicTime sent_at);
 
   NodeId self_;
   LeaseSettings settings_;
   VersionedLease seen_;
-  bool seen_known_ = false;
+  bool seen_valid_ = false;
   MonotonicTime seen_changed_at_{};  ///< When this node first saw the current record.
   VersionedLease pending_;
-  std::optional<MonotonicTime> write_sent_;  ///< Set while a write is not settled.
-  bool busy_ = false;
+  std::optional<MonotonicTime> unconfirmed_write_at_;  ///< Set while a write is not settled.
+  bool call_pending_ = false;
   MonotonicTime next_poll_{};
   std::optional<Fence> epoch_;
-  MonotonicTime act_until_{};
-  std::optional<Duration> standby_every_;  ///< Unset: as often as the holder renews.
+  MonotonicTime valid_until_{};
+  std::optional<Duration> standby_interval_;  ///< Unset: as often as the holder renews.
 };
 
 }  // namespace shuntbank
--- a/src/core/lease/order.cpp
+++ b/src/core/lease/order.cpp
@@ -3,20 +3,20 @@
 namespace shuntbank {
 
 OrderVerdict OrderGate::claim(Fence fence) {
-  if (fence < held_.fence) return OrderVerdict::kStale;
-  if (fence == held_.fence) return OrderVerdict::kRepeated;
-  held_ = {fence, 0};
+  if (fence < stamp_.fence) return OrderVerdict::kStale;
+  if (fence == stamp_.fence) return OrderVerdict::kRepeated;
+  stamp_ = {fence, 0};
   return OrderVerdict::kAccepted;
 }
 
 OrderVerdict OrderGate::offer(const EngineOrder& order) {
   // An order whose fence was never claimed here is refused: its sender has not read the state that
   // it wants to change.
-  if (order.stamp.fence != held_.fence || order.stamp < held_) return OrderVerdict::kStale;
-  if (order.stamp == held_) {
+  if (order.stamp.fence != stamp_.fence || order.stamp < stamp_) return OrderVerdict::kStale;
+  if (order.stamp == stamp_) {
     return order.desired == desired_ ? OrderVerdict::kRepeated : OrderVerdict::kStale;
   }
-  held_ = order.stamp;
+  stamp_ = order.stamp;
   desired_ = order.desired;
   return OrderVerdict::kAccepted;
 }
--- a/src/core/lease/order.hpp
+++ b/src/core/lease/order.hpp
@@ -50,11 +50,11 @@
   /// Judges an order and, when it is accepted, holds it. A fence must be claimed before its orders.
   OrderVerdict offer(const EngineOrder& order);
 
-  const OrderStamp& held() const { return held_; }
+  const OrderStamp& stamp() const { return stamp_; }
   const DesiredState& desired() const { return desired_; }
 
  private:
-  OrderStamp held_;
+  OrderStamp stamp_;
   DesiredState desired_;
 };
 
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -16,9 +16,9 @@
 constexpr int kSendsPerDoubling = 3;
 
 /// One hinted address is tried for each this many heartbeats, to heal a split cluster.
-constexpr std::uint64_t kHintEvery = 8;
+constexpr std::uint64_t kHintInterval = 8;
 
-bool newer(const MemberFact& candidate, const MemberFact& known) {
+bool supersedes(const MemberFact& candidate, const MemberFact& known) {
   if (candidate.incarnation != known.incarnation) {
     return candidate.incarnation > known.incarnation;
   }
@@ -46,32 +46,32 @@
   std::vector<HeartbeatTarget> targets;
   add_retries(now, targets);
   if (now < next_heartbeat_) return targets;
-  next_heartbeat_ = now + settings_.heartbeat_every;
+  next_heartbeat_ = now + settings_.heartbeat_interval;
   add_member_target(now, targets);
-  if (members_.empty() || random_() % kHintEvery == 0) add_hint_target(targets);
+  if (members_.empty() || random_() % kHintInterval == 0) add_hint_target(targets);
   return targets;
 }
 
 void Membership::check_answers(MonotonicTime now) {
   for (auto entry = members_.begin(); entry != members_.end();) {
     Entry& member = entry->second;
-    const bool silent =
-        member.awaiting_since && now >= *member.awaiting_since + settings_.answer_within;
-    if (silent) {
-      member.awaiting_since.reset();
-      note_miss(now, member);
+    const bool timed_out = member.awaiting_answer_since &&
+                           now >= *member.awaiting_answer_since + settings_.answer_timeout;
+    if (timed_out) {
+      member.awaiting_answer_since.reset();
+      record_miss(now, member);
     }
     const Duration in_state = now - member.state_since;
-    const bool overdue =
-        member.fact.state == MemberState::kSuspect && in_state >= settings_.suspect_for;
-    if (overdue) set_state(now, member, MemberState::kDead);
-    const bool forgettable =
-        member.fact.state == MemberState::kDead && in_state >= settings_.forget_after;
-    entry = forgettable ? members_.erase(entry) : std::next(entry);
+    const bool suspect_expired =
+        member.fact.state == MemberState::kSuspect && in_state >= settings_.suspect_timeout;
+    if (suspect_expired) set_state(now, member, MemberState::kDead);
+    const bool dead_expired =
+        member.fact.state == MemberState::kDead && in_state >= settings_.dead_retention;
+    entry = dead_expired ? members_.erase(entry) : std::next(entry);
   }
 }
 
-void Membership::note_miss(MonotonicTime now, Entry& entry) {
+void Membership::record_miss(MonotonicTime now, Entry& entry) {
   if (entry.fact.state != MemberState::kAlive) return;
   if (++entry.misses < settings_.misses_before_suspect) {
     retries_.push_back(entry.fact.node);
@@ -85,7 +85,7 @@
   for (const NodeId& node : std::exchange(retries_, {})) {
     const auto found = members_.find(node);
     if (found == members_.end()) continue;
-    if (!found->second.awaiting_since) found->second.awaiting_since = now;
+    if (!found->second.awaiting_answer_since) found->second.awaiting_answer_since = now;
     targets.push_back({node, found->second.fact.address});
   }
 }
@@ -93,18 +93,18 @@
 void Membership::add_member_target(MonotonicTime now, std::vector<HeartbeatTarget>& targets) {
   // Each round visits every member once in random order, which bounds the time to notice a failure.
   while (true) {
-    if (round_.empty()) {
+    if (heartbeat_round_.empty()) {
       for (const auto& [node, entry] : members_) {
-        if (entry.fact.state != MemberState::kDead) round_.push_back(node);
+        if (entry.fact.state != MemberState::kDead) heartbeat_round_.push_back(node);
       }
-      std::shuffle(round_.begin(), round_.end(), random_);
-      if (round_.empty()) return;
+      std::shuffle(heartbeat_round_.begin(), heartbeat_round_.end(), random_);
+      if (heartbeat_round_.empty()) return;
     }
-    const NodeId node = round_.back();
-    round_.pop_back();
+    const NodeId node = heartbeat_round_.back();
+    heartbeat_round_.pop_back();
     const auto found = members_.find(node);
     if (found == members_.end() || found->second.fact.state == MemberState::kDead) continue;
-    if (!found->second.awaiting_since) found->second.awaiting_since = now;
+    if (!found->second.awaiting_answer_since) found->second.awaiting_answer_since = now;
     targets.push_back({node, found->second.fact.address});
     return;
   }
@@ -119,17 +119,17 @@
 std::vector<MemberFact> Membership::facts_to_send(const NodeId& to) {
   std::vector<MemberFact> facts{self_};
   const auto target = members_.find(to);
-  const bool wronged =
+  const bool reported_down =
       target != members_.end() && (target->second.fact.state == MemberState::kDead ||
                                    target->second.fact.state == MemberState::kSuspect);
-  if (wronged) facts.push_back(target->second.fact);
-  std::vector<Entry*> waiting;
+  if (reported_down) facts.push_back(target->second.fact);
+  std::vector<Entry*> pending;
   for (auto& [node, entry] : members_) {
-    if (entry.sends_left > 0) waiting.push_back(&entry);
+    if (entry.sends_left > 0) pending.push_back(&entry);
   }
-  std::sort(waiting.begin(), waiting.end(),
+  std::sort(pending.begin(), pending.end(),
             [](const Entry* a, const Entry* b) { return a->sends_left > b->sends_left; });
-  for (Entry* entry : waiting) {
+  for (Entry* entry : pending) {
     if (facts.size() > settings_.facts_per_message) break;
     --entry->sends_left;
     facts.push_back(entry->fact);
@@ -142,22 +142,22 @@
     if (fact.node == self_.node) {
       refute(fact);
     } else {
-      learn(now, fact);
+      merge(now, fact);
     }
   }
 }
 
-void Membership::learn(MonotonicTime now, const MemberFact& fact) {
+void Membership::merge(MonotonicTime now, const MemberFact& fact) {
   const auto found = members_.find(fact.node);
   if (found == members_.end()) {
     if (fact.state == MemberState::kDead) return;
-    members_.emplace(fact.node, Entry{fact, sends_for_spread(), std::nullopt, 0, now});
-    ++changes_;
+    members_.emplace(fact.node, Entry{fact, gossip_sends(), std::nullopt, 0, now});
+    ++change_count_;
     return;
   }
-  if (!newer(fact, found->second.fact)) return;
-  found->second = Entry{fact, sends_for_spread(), std::nullopt, 0, now};
-  ++changes_;
+  if (!supersedes(fact, found->second.fact)) return;
+  found->second = Entry{fact, gossip_sends(), std::nullopt, 0, now};
+  ++change_count_;
 }
 
 void Membership::refute(const MemberFact& fact) {
@@ -166,35 +166,35 @@
                       (fact.state == MemberState::kLeaving && self_.state == MemberState::kAlive));
   if (!wrong) return;
   self_.incarnation = fact.incarnation + 1;
-  ++changes_;
+  ++change_count_;
 }
 
 void Membership::set_state(MonotonicTime now, Entry& entry, MemberState state) {
   entry.fact.state = state;
-  entry.sends_left = sends_for_spread();
+  entry.sends_left = gossip_sends();
   entry.state_since = now;
-  ++changes_;
+  ++change_count_;
 }
 
-void Membership::on_heard_from(const NodeId& node) {
+void Membership::on_message_received(const NodeId& node) {
   const auto found = members_.find(node);
   if (found == members_.end()) return;
-  found->second.awaiting_since.reset();
+  found->second.awaiting_answer_since.reset();
   found->second.misses = 0;
 }
 
-void Membership::hint(const std::vector<std::string>& addresses) {
+void Membership::set_hints(const std::vector<std::string>& addresses) {
   hints_ = addresses;
 }
 
 void Membership::leave() {
   self_.state = MemberState::kLeaving;
-  ++changes_;
+  ++change_count_;
 }
 
 const std::vector<MemberFact>& Membership::usable() const {
-  if (usable_at_ == changes_) return usable_;
-  usable_at_ = changes_;
+  if (usable_version_ == change_count_) return usable_;
+  usable_version_ = change_count_;
   usable_.clear();
   if (self_.state == MemberState::kAlive) usable_.push_back(self_);
   for (const auto& [node, entry] : members_) {
@@ -227,7 +227,7 @@
   return digest;
 }
 
-int Membership::sends_for_spread() const {
+int Membership::gossip_sends() const {
   const auto size = static_cast<double>(members_.size() + 2);
   return kSendsPerDoubling * static_cast<int>(std::ceil(std::log2(size)));
 }
@@ -238,13 +238,13 @@
 
 std::vector<MemberFact> rank_for_duty(const std::string& duty, std::vector<MemberFact> members,
                                       std::size_t count) {
-  const std::size_t kept = std::min(count, members.size());
+  const std::size_t selected = std::min(count, members.size());
   const std::uint64_t seed = hash64(duty);
-  std::partial_sort(members.begin(), members.begin() + static_cast<std::ptrdiff_t>(kept),
+  std::partial_sort(members.begin(), members.begin() + static_cast<std::ptrdiff_t>(selected),
                     members.end(), [seed](const MemberFact& a, const MemberFact& b) {
                       return hash64(a.node.value(), seed) > hash64(b.node.value(), seed);
                     });
-  members.resize(kept);
+  members.resize(selected);
   return members;
 }
 
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -40,14 +40,14 @@
 
 /// Tunables of the membership.
 struct MembershipSettings {
-  Duration heartbeat_every = std::chrono::seconds(1);
-  Duration answer_within = std::chrono::milliseconds(400);  ///< Else the answer counts as missed.
+  Duration heartbeat_interval = std::chrono::seconds(1);
+  Duration answer_timeout = std::chrono::milliseconds(400);  ///< Else the answer counts as missed.
   /// Missed in a row before a member is suspect. A lost datagram must not start a rumour: at 92
   /// nodes and 1% loss, one miss for a suspicion kept the cluster busy with nothing but
   /// refutations.
   int misses_before_suspect = 3;
-  Duration suspect_for = std::chrono::seconds(3);   ///< Time to refute before a suspect is dead.
-  Duration forget_after = std::chrono::minutes(5);  ///< Dead members are forgotten after this.
+  Duration suspect_timeout = std::chrono::seconds(3);  ///< Time to refute before a suspect is dead.
+  Duration dead_retention = std::chrono::minutes(5);   ///< Dead members are forgotten after this.
   std::size_t facts_per_message = 3;
 };
 
@@ -76,10 +76,10 @@
   void on_facts(MonotonicTime now, const std::vector<MemberFact>& facts);
 
   /// A member answered or sent something itself.
-  void on_heard_from(const NodeId& node);
+  void on_message_received(const NodeId& node);
 
   /// Addresses to try while nothing better is known, such as the platform's machine list.
-  void hint(const std::vector<std::string>& addresses);
+  void set_hints(const std::vector<std::string>& addresses);
 
   /// Says that this node is leaving: it takes no new work and holds no duties.
   void leave();
@@ -100,39 +100,40 @@
   const MemberFact& self() const { return self_; }
 
   /// @return a count that grows whenever any fact changes.
-  std::uint64_t changes() const { return changes_; }
+  std::uint64_t change_count() const { return change_count_; }
 
  private:
   struct Entry {
     MemberFact fact;
     int sends_left = 0;
-    std::optional<MonotonicTime> awaiting_since;
+    std::optional<MonotonicTime> awaiting_answer_since;
     int misses = 0;
     MonotonicTime state_since{};
   };
 
-  void learn(MonotonicTime now, const MemberFact& fact);
+  void merge(MonotonicTime now, const MemberFact& fact);
   void refute(const MemberFact& fact);
   void set_state(MonotonicTime now, Entry& entry, MemberState state);
   void check_answers(MonotonicTime now);
-  void note_miss(MonotonicTime now, Entry& entry);
+  void record_miss(MonotonicTime now, Entry& entry);
   void add_retries(MonotonicTime now, std::vector<HeartbeatTarget>& targets);
   void add_member_target(MonotonicTime now, std::vector<HeartbeatTarget>& targets);
   void add_hint_target(std::vector<HeartbeatTarget>& targets);
-  int sends_for_spread() const;
+  int gossip_sends() const;
 
   MemberFact self_;
   MembershipSettings settings_;
   std::mt19937_64 random_;
   std::map<NodeId, Entry> members_;
   std::vector<NodeId> retries_;  ///< Members that missed an answer, to be tried again at once.
-  std::vector<NodeId> round_;    ///< Members still to be tried in this round, in random order.
+  std::vector<NodeId>
+      heartbeat_round_;  ///< Members still to be tried in this round, in random order.
   std::vector<std::string> hints_;
   MonotonicTime next_heartbeat_{};
-  std::uint64_t changes_ = 0;
-  mutable std::vector<MemberFact> usable_;  ///< As of `usable_at_`: it is asked for far more often
-                                            ///< than it changes.
-  mutable std::optional<std::uint64_t> usable_at_;
+  std::uint64_t change_count_ = 0;
+  mutable std::vector<MemberFact> usable_;  ///< As of `usable_version_`: it is asked for far more
+                                            ///< often than it changes.
+  mutable std::optional<std::uint64_t> usable_version_;
 };
 
 /// @return a place of `node` for `duty` by rendezvous hashing; the highest holds the duty.
--- a/src/core/usage/usage_counter.hpp
+++ b/src/core/usage/usage_counter.hpp
@@ -13,31 +13,31 @@
 /// when asked: a node that learns late what true time is corrects what it has counted.
 class UsageCounter {
  public:
-  /// @param kept how long a beginning is remembered.
-  explicit UsageCounter(Duration kept) : kept_for(kept) {}
+  /// @param retention_time how long a beginning is remembered.
+  explicit UsageCounter(Duration retention_time) : retention(retention_time) {}
 
   /// A request of the tenant has begun to run.
-  void on_began(MonotonicTime now, const TenantName& tenant);
+  void on_request_started(MonotonicTime now, const TenantName& tenant);
 
   /// @param true_time turns a point of the monotonic clock into true time.
   /// @return what has begun in the window.
-  TenantCounts counts(const WindowClock& windows, WindowNumber window,
+  TenantCounts counts(const WindowClock& window_clock, WindowNumber window,
                       const std::function<UnixMs(MonotonicTime)>& true_time) const;
 
   /// Forgets what is older than it need be.
   void expire(MonotonicTime now);
 
   /// @return beginnings that could not be remembered, since there were too many.
-  std::uint64_t left_out() const { return this->dropped; }
+  std::uint64_t dropped_requests() const { return this->dropped; }
 
  private:
-  struct Beginning {
+  struct StartedRequest {
     MonotonicTime at;
     TenantName tenant;
   };
 
-  Duration kept_for;
-  std::deque<Beginning> begun;  ///< In order.
+  Duration retention;
+  std::deque<StartedRequest> started;  ///< In order.
   std::uint64_t dropped = 0;
 };
 
--- a/src/core/usage/usage_ledger.hpp
+++ b/src/core/usage/usage_ledger.hpp
@@ -11,7 +11,7 @@
 namespace shuntbank::usage {
 
 /// A part of what one node has counted in one window.
-struct ToldUsage {
+struct UsageCounts {
   NodeId node;
   std::uint64_t boot = 0;      ///< Drawn at the start of the process.
   std::uint64_t sequence = 0;  ///< Rises with each telling of one start; its parts share it.
@@ -23,23 +23,23 @@
   std::uint32_t parts = 1;
   TenantCounts counts;
 
-  bool operator==(const ToldUsage&) const = default;
+  bool operator==(const UsageCounts&) const = default;
 };
 
 /// Tunables of the ledger.
 struct UsageLedgerSettings {
-  WindowClock windows;
+  WindowClock window_clock;
   /// A node that was not heard of for so long is not waited for.
-  Duration node_life = std::chrono::milliseconds(3500);
+  Duration node_timeout = std::chrono::milliseconds(3500);
   /// Windows that are remembered.
-  WindowNumber kept_windows = 8;
+  WindowNumber retained_windows = 8;
   /// Of the nodes heard, the part that must have counted through a whole window: less would tell a
   /// tenant that he has used less than he has, which nobody could put right later.
-  double least_covered = 0.5;
+  double min_coverage = 0.5;
 };
 
 /// Sums up. Counts of one start of a node replace earlier ones of the same window, so that a lost
-/// or doubled message changes nothing; counts of starts that have ended stay.
+/// or doubled message changes nothing; counts of incarnations that have ended stay.
 class UsageLedger {
  public:
   explicit UsageLedger(const UsageLedgerSettings& own_settings) : settings(own_settings) {}
@@ -48,7 +48,7 @@
   /// @param current the window that is open now. A node whose clock is wrong, and does not know it
   /// yet, tells of windows that are still to come; these are not taken.
   /// @return whether it was news.
-  bool on_told(MonotonicTime now, WindowNumber current, const ToldUsage& told);
+  bool on_counts(MonotonicTime now, WindowNumber current, const UsageCounts& report);
 
   /// @return whether all nodes that are heard have counted the window to its end.
   bool complete(MonotonicTime now, WindowNumber window) const;
@@ -60,30 +60,30 @@
   TenantCounts sum(WindowNumber window) const;
 
   /// @return nodes that are heard of now.
-  std::size_t nodes(MonotonicTime now) const;
+  std::size_t live_nodes(MonotonicTime now) const;
 
  private:
   /// What one start of a node has told of one window. A telling counts once all its parts are here.
-  struct Account {
+  struct NodeCounts {
     std::uint64_t sequence = 0;
     std::set<std::uint32_t> parts;
-    TenantCounts arriving;
+    TenantCounts partial_counts;
     UnixMs counted_until = 0;
     TenantCounts counts;
   };
   /// The newest start of a node.
-  struct Start {
+  struct Incarnation {
     std::uint64_t boot = 0;
-    MonotonicTime heard_at{};
+    MonotonicTime received_at{};
     UnixMs counting_since = 0;
   };
-  using StartKey = std::pair<NodeId, std::uint64_t>;
+  using IncarnationKey = std::pair<NodeId, std::uint64_t>;
 
-  void forget_old(MonotonicTime now, WindowNumber current);
+  void expire(MonotonicTime now, WindowNumber current);
 
   UsageLedgerSettings settings;
-  std::map<NodeId, Start> starts;
-  std::map<WindowNumber, std::map<StartKey, Account>> accounts;
+  std::map<NodeId, Incarnation> incarnations;
+  std::map<WindowNumber, std::map<IncarnationKey, NodeCounts>> received;
 };
 
 }  // namespace shuntbank::usage
--- a/src/node/cluster_service.cpp
+++ b/src/node/cluster_service.cpp
@@ -75,11 +75,11 @@
 }
 
 void ClusterService::on_heartbeat(const Heartbeat& heartbeat, const std::string& sender) {
-  const std::uint64_t changes_before = membership_.changes();
+  const std::uint64_t changes_before = membership_.change_count();
   membership_.on_facts(runtime_.now(), heartbeat.members);
-  membership_.on_heard_from(heartbeat.from);
+  membership_.on_message_received(heartbeat.from);
   learn_engines(heartbeat.engines);
-  if (membership_.changes() != changes_before) {
+  if (membership_.change_count() != changes_before) {
     log_event(LogArea::kCluster, LogLevel::kDebug, "members_changed",
               {{"usable", membership_.usable().size()}});
   }
@@ -137,12 +137,12 @@
 std::vector<MemberFact> ClusterService::candidates(const std::string& duty,
                                                    std::size_t count) const {
   Ranking& ranking = rankings_[duty];
-  const bool current = ranking.at_change == membership_.changes() && ranking.count == count;
+  const bool current = ranking.at_change == membership_.change_count() && ranking.count == count;
   if (current && !ranking.members.empty()) return ranking.members;
   std::vector<MemberFact> members = membership_.usable();
   std::erase_if(members,
                 [this](const MemberFact& member) { return member.region != self().region; });
-  ranking = {membership_.changes(), count, rank_for_duty(duty, std::move(members), count)};
+  ranking = {membership_.change_count(), count, rank_for_duty(duty, std::move(members), count)};
   return ranking.members;
 }
 
--- a/src/node/cluster_service.hpp
+++ b/src/node/cluster_service.hpp
@@ -47,7 +47,7 @@
   Revision revision_of(const NodeId& node) const;
 
   /// Addresses from the platform's machine list.
-  void hint(const std::vector<std::string>& addresses) { membership_.hint(addresses); }
+  void hint(const std::vector<std::string>& addresses) { membership_.set_hints(addresses); }
 
   /// Tells everybody that this node is leaving.
   void leave();
--- a/src/node/control_service.cpp
+++ b/src/node/control_service.cpp
@@ -96,7 +96,7 @@
   // A standby looks less often, so that the preferred holder goes first and the store is spared.
   if (rank > 0 && !holding) {
     if (now < duty.next_standby_poll) return;
-    duty.next_standby_poll = now + lease_settings_.length / 2;
+    duty.next_standby_poll = now + lease_settings_.duration / 2;
   }
   switch (duty.lease.poll(now, rank >= 0, runtime_.random_hex(kWriteIdBytes))) {
     case LeaseAction::kNothing:
--- a/src/node/request_queue.cpp
+++ b/src/node/request_queue.cpp
@@ -159,7 +159,7 @@
   if (!admitted) return;
   Lane& lane = lane_of(service);
   limiter_.finish(item.tenant, item.cost, result.tokens);
-  lane.queue.settle(item.tenant, item.weight, item.cost, result.tokens);
+  lane.queue.correct_cost(item.tenant, item.weight, item.cost, result.tokens);
   if (!result.started) return;
   --lane.in_flight;
   const double held = to_seconds(context_.runtime.now() - began);
--- a/src/protocol/lease_codec.cpp
+++ b/src/protocol/lease_codec.cpp
@@ -19,18 +19,18 @@
   return {{"holder", record.holder.value()},
           {"epoch", record.epoch},
           {"write_id", record.write_id},
-          {"length", format_duration(record.length)}};
+          {"length", format_duration(record.duration)}};
 }
 
 LeaseRecord lease_from_json(const nlohmann::json& json) {
   LeaseRecord record;
-  record.length = kUnreadableLength;
+  record.duration = kUnreadableLength;
   if (!json.is_object()) return record;
   record.holder = NodeId(text_of(json, "holder"));
   record.write_id = text_of(json, "write_id");
   const auto epoch = json.find("epoch");
   if (epoch != json.end() && epoch->is_number_unsigned()) record.epoch = epoch->get<Fence>();
-  record.length = parse_duration(text_of(json, "length")).value_or(kUnreadableLength);
+  record.duration = parse_duration(text_of(json, "length")).value_or(kUnreadableLength);
   return record;
 }
 
--- a/src/protocol/usage_message.cpp
+++ b/src/protocol/usage_message.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 using usage::TenantCounts;
-using usage::ToldUsage;
+using usage::UsageCounts;
 
 constexpr char kCallMark = 'U';
 constexpr char kToldMark = 'V';
@@ -19,7 +19,7 @@
 /// Counts that one message holds: at 20 bytes each, a name of 16 among them, 1,200 bytes.
 constexpr std::size_t kCountsAMessage = 60;
 
-std::string encode_part(const ToldUsage& told, const json& counts, std::size_t part,
+std::string encode_part(const UsageCounts& told, const json& counts, std::size_t part,
                         std::size_t parts) {
   return marked(kToldMark,
                 {told.node.value(), told.boot, told.sequence, told.clock, told.counted_until,
@@ -34,7 +34,7 @@
   return marked(kCallMark, document);
 }
 
-std::vector<std::string> encode_parts(const ToldUsage& told) {
+std::vector<std::string> encode_parts(const UsageCounts& told) {
   const std::size_t parts =
       std::max<std::size_t>(1, (told.counts.size() + kCountsAMessage - 1) / kCountsAMessage);
   std::vector<std::string> messages;
@@ -73,10 +73,10 @@
   }
 }
 
-tl::expected<ToldUsage, std::string> decode_told_usage(std::string_view bytes) {
+tl::expected<UsageCounts, std::string> decode_told_usage(std::string_view bytes) {
   try {
     const json document = from_marked(bytes);
-    ToldUsage told;
+    UsageCounts told;
     told.node = NodeId(document.at(0).get<std::string>());
     told.boot = document.at(1).get<std::uint64_t>();
     told.sequence = document.at(2).get<std::uint64_t>();
--- a/src/protocol/usage_message.hpp
+++ b/src/protocol/usage_message.hpp
@@ -26,13 +26,13 @@
 
 /// @return one window's counts in as many messages as they need, none larger than a datagram of the
 /// usual links. `part` and `parts` are set here.
-std::vector<std::string> encode_parts(const usage::ToldUsage& told);
+std::vector<std::string> encode_parts(const usage::UsageCounts& told);
 
 bool is_usage_call(std::string_view bytes);
 bool is_told_usage(std::string_view bytes);
 
 /// @return the message, or what is wrong with the bytes.
 tl::expected<UsageCall, std::string> decode_usage_call(std::string_view bytes);
-tl::expected<usage::ToldUsage, std::string> decode_told_usage(std::string_view bytes);
+tl::expected<usage::UsageCounts, std::string> decode_told_usage(std::string_view bytes);
 
 }  // namespace shuntbank
--- a/src/relay/capacity_coordinator.cpp
+++ b/src/relay/capacity_coordinator.cpp
@@ -31,7 +31,7 @@
 }
 
 void CapacityCoordinator::tick() {
-  if (this->settings.planner.way == capacity::BuyingWay::kNone) return;
+  if (this->settings.planner.strategy == capacity::SpotStrategy::kNone) return;
   if (this->lease.held_for() < this->settings.settle) {
     // Another holder may have ordered meanwhile.
     this->services.clear();
@@ -111,7 +111,7 @@
 void CapacityCoordinator::learn_need(const ServiceName& name, Service& known,
                                      const EnginesByZone& engines) {
   const MonotonicTime now = this->runtime.now();
-  const std::uint32_t seen = capacity::in_all(engines).full;
+  const std::uint32_t seen = capacity::total_engines(engines).full;
   if (seen > known.needed) {
     known.needed = seen;
     known.grown_at = now;
@@ -173,7 +173,7 @@
                               std::uint32_t there) const {
   const MonotonicTime now = this->runtime.now();
   const bool more = wanted > there;
-  if (more && !known.planner.may_ask(now, purchase)) return false;
+  if (more && !known.planner.may_request(now, purchase)) return false;
   const auto given = known.given.find(purchase);
   if (given == known.given.end()) return wanted != there;
   if (given->second.busy) return false;
@@ -217,7 +217,7 @@
   if (outcome == DutyOutcome::kDone) return;
   known->second.given.erase(given);
   if (outcome == DutyOutcome::kRefused) {
-    known->second.planner.on_none_there(this->runtime.now(), purchase);
+    known->second.planner.on_unavailable(this->runtime.now(), purchase);
   }
 }
 
--- a/src/relay/lease_keeper.cpp
+++ b/src/relay/lease_keeper.cpp
@@ -57,7 +57,7 @@
 /// A few nodes stand by closely; of the rest, one looks now and then in case those are all gone.
 void LeaseKeeper::pace_standby() {
   const Fleet& fleet = node_.fleet();
-  const Duration renewed = settings_.lease.renew_every;
+  const Duration renewed = settings_.lease.renew_interval;
   const Duration others = settings_.others_read_every * static_cast<std::int64_t>(fleet.nodes);
   const bool close = fleet.rank < settings_.standbys;
   lease_.set_standby_interval(close ? renewed : std::max(renewed, others));
--- a/src/relay/policy_options.cpp
+++ b/src/relay/policy_options.cpp
@@ -40,9 +40,9 @@
       "between two sums of a zone's collector");
   add("stages-at-once", into(settings.stages.share_at_once),
       "of a service's engines that change their stage in one batch");
-  add("buy", into(settings.capacity.planner.way),
+  add("buy", into(settings.capacity.planner.strategy),
       "how engines are ordered: none, spot-swap or spot-spare");
-  add("full-floor", into(settings.capacity.planner.full_floor),
+  add("full-floor", into(settings.capacity.planner.min_full_price_share),
       "of the engines that a service needs: kept at full price");
   add("prefill-share", into(settings.stages.prefill_share),
       "of a service's engines that read prompts");
--- a/src/relay/usage_exchange.cpp
+++ b/src/relay/usage_exchange.cpp
@@ -18,8 +18,8 @@
 usage::UsageLedgerSettings ledger_settings(const UsageSettings& settings,
                                            const usage::WindowClock& clock) {
   usage::UsageLedgerSettings ledger;
-  ledger.windows = clock;
-  ledger.kept_windows =
+  ledger.window_clock = clock;
+  ledger.retained_windows =
       static_cast<usage::WindowNumber>(whole_ms(settings.kept) / clock.length_ms) + 2;
   return ledger;
 }
@@ -45,22 +45,22 @@
 
 void UsageExchange::look_at_clock() {
   this->counter.expire(this->runtime.now());
-  const usage::UnixMs jumped = this->time.look(this->runtime.now(), time_of_day(this->runtime));
+  const usage::UnixMs jumped = this->time.update(this->runtime.now(), time_of_day(this->runtime));
   if (jumped == 0) return;
   log_event(LogArea::kProcess, LogLevel::kWarning, "clock_jumped",
             {{"by_ms", jumped}, {"corrected_ms", this->time.correction()}});
 }
 
 usage::UnixMs UsageExchange::agreed_now() const {
-  return this->time.agreed(this->runtime.now());
+  return this->time.corrected_time(this->runtime.now());
 }
 
 usage::UnixMs UsageExchange::counting_since() const {
-  return this->first_start ? 0 : this->time.agreed(this->started_at);
+  return this->first_start ? 0 : this->time.corrected_time(this->started_at);
 }
 
 void UsageExchange::on_began(const TenantName& tenant) {
-  this->counter.on_began(this->runtime.now(), tenant);
+  this->counter.on_request_started(this->runtime.now(), tenant);
 }
 
 void UsageExchange::on_message(std::string_view bytes) {
@@ -75,7 +75,7 @@
 void UsageExchange::call() {
   const MonotonicTime now = this->runtime.now();
   const std::string bytes =
-      encode(UsageCall{this->peers.own_name(), this->boot, this->time.take_median(now)});
+      encode(UsageCall{this->peers.own_name(), this->boot, this->time.apply_median(now)});
   for (const auto& [name, record] : this->peers.nodes()) {
     if (name != this->peers.own_name()) this->transport.send(record.address, bytes);
   }
@@ -87,18 +87,18 @@
 
 void UsageExchange::on_call(const UsageCall& call) {
   if (!this->peers.is_peer(call.reporter)) return;
-  if (call.agreed) this->time.on_agreed(this->runtime.now(), *call.agreed);
+  if (call.agreed) this->time.on_true_time(this->runtime.now(), *call.agreed);
   const bool first = this->reporter != call.reporter || this->reporter_boot != call.boot;
   this->reporter = call.reporter;
   this->reporter_boot = call.boot;
   this->tell(first);
 }
 
-void UsageExchange::on_told(const usage::ToldUsage& more) {
+void UsageExchange::on_told(const usage::UsageCounts& more) {
   if (!this->peers.is_peer(more.node)) return;
   const MonotonicTime now = this->runtime.now();
-  this->time.on_clock(now, more.node, more.clock);
-  this->told.on_told(now, this->clock.at(this->agreed_now()), more);
+  this->time.on_peer_clock(now, more.node, more.clock);
+  this->told.on_counts(now, this->clock.at(this->agreed_now()), more);
 }
 
 void UsageExchange::tell_last() {
@@ -136,20 +136,20 @@
 
 void UsageExchange::tell_window(usage::WindowNumber window, const std::vector<NodeId>& targets) {
   const MonotonicTime now = this->runtime.now();
-  usage::ToldUsage own;
+  usage::UsageCounts own;
   own.node = this->peers.own_name();
   own.boot = this->boot;
   own.sequence = this->tellings;
-  own.clock = this->time.own(now);
+  own.clock = this->time.local_time(now);
   own.counted_until = this->agreed_now() - whole_ms(this->settings.counted_late);
   own.counting_since = this->counting_since();
   own.window = window;
-  own.counts = this->counter.counts(this->clock, window,
-                                    [this](MonotonicTime at) { return this->time.agreed(at); });
+  own.counts = this->counter.counts(
+      this->clock, window, [this](MonotonicTime at) { return this->time.corrected_time(at); });
   const auto messages = encode_parts(own);
   for (const NodeId& target : targets) {
     if (target == this->peers.own_name()) {
-      this->told.on_told(now, this->clock.at(this->agreed_now()), own);
+      this->told.on_counts(now, this->clock.at(this->agreed_now()), own);
       continue;
     }
     const PeerRecord* record = this->peers.find(target);
--- a/src/relay/usage_exchange.hpp
+++ b/src/relay/usage_exchange.hpp
@@ -44,7 +44,7 @@
   const usage::UsageLedger& ledger() const { return this->told; }
 
   /// @return requests that could not be counted, since too many began at once.
-  std::uint64_t left_out() const { return this->counter.left_out(); }
+  std::uint64_t left_out() const { return this->counter.dropped_requests(); }
   const usage::WindowClock& windows() const { return this->clock; }
 
   /// @return true time as far as this node knows, in milliseconds since the start of 1970.
@@ -56,7 +56,7 @@
  private:
   void look_at_clock();
   void on_call(const UsageCall& call);
-  void on_told(const usage::ToldUsage& told);
+  void on_told(const usage::UsageCounts& told);
   void tell(bool all);
   void tell_window(usage::WindowNumber window, const std::vector<NodeId>& listeners);
   std::vector<NodeId> listeners() const;
--- a/src/relay/usage_reporter.cpp
+++ b/src/relay/usage_reporter.cpp
@@ -111,7 +111,7 @@
             {{"window", number},
              {"complete", complete},
              {"covered", ledger.covered(number)},
-             {"nodes", ledger.nodes(now)},
+             {"nodes", ledger.live_nodes(now)},
              {"tenants", window.report.counts.size()},
              {"requests", usage::total(window.report.counts)},
              {"since_end_ms", this->since_end(number)}});
--- a/src/standin/engine_emulator.cpp
+++ b/src/standin/engine_emulator.cpp
@@ -154,8 +154,8 @@
 
 EngineState EngineEmulator::state() const {
   EngineState state;
-  state.stamp = gate_.held();
-  state.desired = gate_.held().sequence == 0 ? in_force_ : gate_.desired();
+  state.stamp = gate_.stamp();
+  state.desired = gate_.stamp().sequence == 0 ? in_force_ : gate_.desired();
   state.role = in_force_.role;
   state.changing = change_ends_.has_value();
   state.models = in_force_.models;
--- a/tests/core/admission/admission_test.cpp
+++ b/tests/core/admission/admission_test.cpp
@@ -41,7 +41,7 @@
   cr_assert_float_eq(served["heavy"] / served["noisy"], 2.0, 0.05);
 }
 
-Test(fair_queue, an_idle_tenant_saves_up_no_claim) {
+Test(fair_queue, an_idle_tenant_accumulates_no_credit) {
   FairQueue queue(10'000);
   for (std::uint64_t i = 0; i < 100; ++i) queue.push(item(i, "busy", 1, 10));
   for (int i = 0; i < 50; ++i) queue.pop();
@@ -58,10 +58,10 @@
   cr_assert_eq(queue.pop()->id, 2);
 }
 
-Test(fair_queue, holds_exactly_what_was_put_in) {
+Test(fair_queue, returns_each_item_exactly_once) {
   SHUNTBANK_PROPERTY("each item leaves once: popped, removed or expired", [] {
     FairQueue queue(20);
-    std::map<std::uint64_t, int> inside;
+    std::map<std::uint64_t, int> queued;
     const int steps = *rc::gen::inRange(1, 100);
     for (int i = 0; i < steps; ++i) {
       const int action = *rc::gen::inRange(0, 5);
@@ -70,23 +70,23 @@
             item(static_cast<std::uint64_t>(i), std::string(1, *rc::gen::inRange('a', 'd')), 1,
                  *rc::gen::inRange(1, 50), *rc::gen::inRange(0, 2));
         next.deadline = MonotonicTime{} + Duration(*rc::gen::inRange(0, 100));
-        if (queue.push(next)) inside[next.id] = 1;
+        if (queue.push(next)) queued[next.id] = 1;
       } else if (action == 3) {
         const auto popped = queue.pop();
-        RC_ASSERT(popped.has_value() == !inside.empty());
-        if (popped) RC_ASSERT(inside.erase(popped->id) == 1);
+        RC_ASSERT(popped.has_value() == !queued.empty());
+        if (popped) RC_ASSERT(queued.erase(popped->id) == 1);
       } else {
         const MonotonicTime now = MonotonicTime{} + Duration(*rc::gen::inRange(0, 100));
         for (const QueueItem& expired : queue.take_expired(now)) {
-          RC_ASSERT(inside.erase(expired.id) == 1);
+          RC_ASSERT(queued.erase(expired.id) == 1);
         }
       }
-      RC_ASSERT(queue.size() == inside.size());
+      RC_ASSERT(queue.size() == queued.size());
     }
   });
 }
 
-Test(tenant_limiter, admits_the_rate_over_a_minute_and_says_when_to_come_back) {
+Test(tenant_limiter, admits_the_rate_over_a_minute_and_returns_a_retry_delay) {
   TenantLimiter limiter(kLongAgo);
   TenantLimits limits;
   limits.requests_per_minute = 60;
@@ -102,7 +102,7 @@
   cr_assert(admitted >= 60 && admitted <= 71, "%d", admitted);
 }
 
-Test(tenant_limiter, settles_estimates) {
+Test(tenant_limiter, corrects_token_estimates_on_finish) {
   TenantLimiter limiter(kLongAgo);
   TenantLimits limits;
   limits.tokens_per_minute = 600;
@@ -113,7 +113,7 @@
   cr_assert(!limiter.admit({}, tenant, limits, 50));
 }
 
-Test(tenant_limiter, bounds_requests_in_flight) {
+Test(tenant_limiter, limits_requests_in_flight) {
   TenantLimiter limiter(kLongAgo);
   TenantLimits limits;
   limits.concurrent_requests = 2;
@@ -134,7 +134,7 @@
   cr_assert(!limiter.admit(MonotonicTime{} + 10s, tenant, limits, 1));
 }
 
-Test(tenant_limiter, gives_a_process_that_has_just_started_no_burst) {
+Test(tenant_limiter, allows_no_burst_after_a_process_start) {
   // What an earlier life of the process admitted is forgotten; a full bucket would admit it again.
   const MonotonicTime start = MonotonicTime{} + 1h;
   TenantLimiter limiter(start);
--- a/tests/core/capacity/capacity_planner_test.cpp
+++ b/tests/core/capacity/capacity_planner_test.cpp
@@ -13,20 +13,20 @@
 const ZoneName kB("b");
 const ZoneName kC("c");
 
-EngineScale scale_of(std::uint32_t most) {
+EngineScale scale_of(std::uint32_t max_engines) {
   EngineScale scale;
-  scale.least = 1;
-  scale.most = most;
+  scale.min_engines = 1;
+  scale.max_engines = max_engines;
   scale.spot_price = 0.2;
   scale.zone_prices = {{kA, 0.85}, {kB, 1.2}, {kC, 1.0}};
   return scale;
 }
 
 /// Nothing is kept at full price.
-CapacitySettings without_floor(BuyingWay way = BuyingWay::kSpotSpare) {
+CapacitySettings without_full_price_minimum(SpotStrategy strategy = SpotStrategy::kSpotSpare) {
   CapacitySettings settings;
-  settings.way = way;
-  settings.full_floor = 0;
+  settings.strategy = strategy;
+  settings.min_full_price_share = 0;
   return settings;
 }
 
@@ -35,24 +35,24 @@
   explicit Provider(CapacitySettings settings = {}) : planner(settings) {}
 
   /// Lets the planner see what is there and carries its plan out.
-  Purchases turn(Duration passes = 1s) {
-    now += passes;
+  Purchases step(Duration elapsed = 1s) {
+    now += elapsed;
     const Purchases plan = planner.plan(now, scale, needed, present);
     for (const auto& [purchase, wanted] : plan) {
-      std::uint32_t& there =
+      std::uint32_t& running =
           purchase.spot ? present[purchase.zone].spot : present[purchase.zone].full;
-      if (wanted > there && none.count(purchase) > 0) {
-        planner.on_none_there(now, purchase);
+      if (wanted > running && unavailable.count(purchase) > 0) {
+        planner.on_unavailable(now, purchase);
         continue;
       }
-      there = wanted;
+      running = wanted;
     }
     return plan;
   }
-  void settle() {
-    for (int i = 0; i < 8; ++i) turn();
+  void run_until_stable() {
+    for (int i = 0; i < 8; ++i) step();
   }
-  std::uint32_t all() const {
+  std::uint32_t total() const {
     std::uint32_t sum = 0;
     for (const auto& [zone, engines] : present) sum += engines.full + engines.spot;
     return sum;
@@ -67,88 +67,88 @@
   EngineScale scale = scale_of(94);
   std::uint32_t needed = 30;
   EnginesByZone present{{kA, {10, 0}}, {kB, {10, 0}}, {kC, {10, 0}}};
-  std::map<Purchase, bool> none;
+  std::map<Purchase, bool> unavailable;
   MonotonicTime now = kNow;
 };
 
 }  // namespace
 
-Test(capacity_planner, cheap_engines_take_over_and_any_one_zone_of_them_may_be_lost) {
+Test(capacity_planner, spot_engines_replace_full_price_ones_and_any_one_zone_may_be_lost) {
   Provider provider;
-  provider.settle();
+  provider.run_until_stable();
   cr_assert_eq(provider.full(), 15, "half of what is needed stays");
-  for (const ZoneName& lost : {kA, kB, kC}) {
-    cr_assert_geq(provider.all() - provider.present[lost].spot, provider.needed);
+  for (const ZoneName& lost_zone : {kA, kB, kC}) {
+    cr_assert_geq(provider.total() - provider.present[lost_zone].spot, provider.needed);
   }
 }
 
-Test(capacity_planner, never_has_fewer_than_needed_while_it_changes_over) {
+Test(capacity_planner, never_has_fewer_than_needed_during_the_changeover) {
   Provider provider;
   provider.scale = scale_of(12);  // There is little room beside those at full price.
   for (int i = 0; i < 20; ++i) {
-    provider.turn(200ms);
-    cr_assert_geq(provider.all(), provider.needed, "turn %d: %u", i, provider.all());
+    provider.step(200ms);
+    cr_assert_geq(provider.total(), provider.needed, "turn %d: %u", i, provider.total());
     for (const auto& [zone, engines] : provider.present) {
-      cr_assert_leq(engines.full + engines.spot, provider.scale.most);
+      cr_assert_leq(engines.full + engines.spot, provider.scale.max_engines);
     }
   }
 }
 
-Test(capacity_planner, fills_up_at_full_price_when_two_zones_are_taken_back_and_gives_back_after) {
-  Provider provider(without_floor());
-  provider.settle();
+Test(capacity_planner, replaces_reclaimed_spot_engines_at_full_price_until_they_return) {
+  Provider provider(without_full_price_minimum());
+  provider.run_until_stable();
   provider.present[kA].spot = 0;
   provider.present[kB].spot = 0;
-  provider.none[{kA, true}] = true;
-  provider.none[{kB, true}] = true;
-  provider.settle();
-  cr_assert_geq(provider.all(), provider.needed);
+  provider.unavailable[{kA, true}] = true;
+  provider.unavailable[{kB, true}] = true;
+  provider.run_until_stable();
+  cr_assert_geq(provider.total(), provider.needed);
   cr_assert_gt(provider.present[kA].full, 0, "where they are cheapest");
   cr_assert_eq(provider.present[kB].full, 0);
-  provider.none.clear();
-  provider.settle();
+  provider.unavailable.clear();
+  provider.run_until_stable();
   cr_assert_eq(provider.full(), 0);
 }
 
-Test(capacity_planner, asks_elsewhere_while_a_zone_has_none) {
+Test(capacity_planner, requests_from_other_zones_while_one_is_unavailable) {
   Provider provider;
   provider.scale.spot_price.reset();
   provider.present = {{kA, {0, 0}}, {kB, {10, 0}}, {kC, {10, 0}}};
-  provider.none[{kA, false}] = true;
-  provider.turn();
-  cr_assert_not(provider.planner.may_ask(provider.now, {kA, false}));
-  provider.turn();
-  cr_assert_eq(provider.all(), 30);
+  provider.unavailable[{kA, false}] = true;
+  provider.step();
+  cr_assert_not(provider.planner.may_request(provider.now, {kA, false}));
+  provider.step();
+  cr_assert_eq(provider.total(), 30);
   cr_assert_eq(provider.present[kC].full, 20, "the next in price");
 }
 
-Test(capacity_planner, orders_nothing_that_does_not_pay_for_its_risk) {
+Test(capacity_planner, orders_no_spot_engines_above_the_price_limit) {
   Provider provider;
   provider.scale.spot_price = 0.9;
-  provider.settle();
-  cr_assert_eq(provider.all(), 30);
+  provider.run_until_stable();
+  cr_assert_eq(provider.total(), 30);
   cr_assert_eq(provider.full(), 30);
 }
 
-Test(capacity_planner, keeps_the_least_of_each_zone_and_the_ways_differ_as_they_say) {
-  Provider none(without_floor(BuyingWay::kNone));
-  cr_assert(none.turn().empty());
-  Provider swap(without_floor(BuyingWay::kSpotSwap));
-  swap.settle();
-  cr_assert_eq(swap.all(), 30);
-  Provider spare(without_floor());
-  spare.scale.least = 20;
-  spare.settle();
+Test(capacity_planner, honours_the_minimum_of_each_zone_and_each_strategy) {
+  Provider no_orders(without_full_price_minimum(SpotStrategy::kNone));
+  cr_assert(no_orders.step().empty());
+  Provider swap(without_full_price_minimum(SpotStrategy::kSpotSwap));
+  swap.run_until_stable();
+  cr_assert_eq(swap.total(), 30);
+  Provider spare(without_full_price_minimum());
+  spare.scale.min_engines = 20;
+  spare.run_until_stable();
   for (const auto& [zone, engines] : spare.present) {
     cr_assert_geq(engines.full + engines.spot, 20);
   }
-  Provider wrong;
-  wrong.scale.least = 100;
-  cr_assert(wrong.turn().empty());
+  Provider invalid;
+  invalid.scale.min_engines = 100;
+  cr_assert(invalid.step().empty());
 }
 
-Test(capacity_planner, a_short_surplus_gives_nothing_back) {
-  Provider provider(without_floor());
+Test(capacity_planner, a_short_surplus_releases_no_engines) {
+  Provider provider(without_full_price_minimum());
   provider.present = {{kA, {10, 10}}, {kB, {10, 10}}, {kC, {10, 10}}};
   const Purchases first = provider.planner.plan(kNow, provider.scale, 30, provider.present);
   cr_assert_eq(first.at({kA, false}), 10);
--- a/tests/core/configuration/config_replica_test.cpp
+++ b/tests/core/configuration/config_replica_test.cpp
@@ -5,7 +5,7 @@
 using namespace shuntbank;
 using nlohmann::json;
 
-Test(config_replica, revisions_only_grow_whatever_arrives) {
+Test(config_replica, revisions_only_grow_in_any_order_of_offers) {
   SHUNTBANK_PROPERTY("offers in any order, whole or as changes", [] {
     std::vector<ConfigDocument> history{ConfigDocument{}};
     const int revisions = *rc::gen::inRange(2, 8);
@@ -33,13 +33,13 @@
   });
 }
 
-Test(config_replica, keeps_what_it_holds_when_an_offer_is_invalid) {
+Test(config_replica, an_invalid_offer_changes_nothing) {
   ConfigReplica replica;
   replica.offer(ConfigDocument{});
-  ConfigDocument bad;
-  bad.revision = 5;
-  bad.objects[{ObjectKind::kTenant, "t"}] = {5, false, json{{"weight", "heavy"}}};
-  cr_assert_eq(replica.offer(bad), OfferResult::kInvalid);
+  ConfigDocument invalid;
+  invalid.revision = 5;
+  invalid.objects[{ObjectKind::kTenant, "t"}] = {5, false, json{{"weight", "heavy"}}};
+  cr_assert_eq(replica.offer(invalid), OfferResult::kInvalid);
   cr_assert_eq(replica.revision(), 0);
   cr_assert(!replica.findings().empty());
 }
--- a/tests/core/membership/membership_test.cpp
+++ b/tests/core/membership/membership_test.cpp
@@ -25,7 +25,7 @@
                       ZoneName("z"),
                       RegionName("r")};
       nodes.emplace_back(self, MembershipSettings{}, i + 1);
-      nodes.back().hint({"0", std::to_string(count - 1)});
+      nodes.back().set_hints({"0", std::to_string(count - 1)});
     }
   }
 
@@ -38,31 +38,31 @@
     }
   }
 
-  int lose_every = 0;  ///< One exchange in so many is lost.
+  int loss_interval = 0;  ///< One exchange in so many is lost.
   int exchanges = 0;
-  bool split = false;  ///< The lower half does not reach the upper half.
+  bool partitioned = false;  ///< The lower half does not reach the upper half.
 
   void exchange(std::size_t from, std::size_t to) {
-    if (lose_every > 0 && ++exchanges % lose_every == 0) return;
+    if (loss_interval > 0 && ++exchanges % loss_interval == 0) return;
     const std::size_t half = nodes.size() / 2;
-    if (dead.contains(to) || (split && (from < half) != (to < half))) return;
+    if (dead.contains(to) || (partitioned && (from < half) != (to < half))) return;
     const NodeId sender = nodes[from].self().node;
     nodes[to].on_facts(now, nodes[from].facts_to_send(nodes[to].self().node));
-    nodes[to].on_heard_from(sender);
+    nodes[to].on_message_received(sender);
     nodes[from].on_facts(now, nodes[to].facts_to_send(sender));
-    nodes[from].on_heard_from(nodes[to].self().node);
+    nodes[from].on_message_received(nodes[to].self().node);
   }
 };
 
 }  // namespace
 
-Test(membership, all_find_each_other_through_one_address) {
+Test(membership, all_nodes_discover_each_other_through_one_address) {
   Cluster cluster(20);
   cluster.run(30s);
   for (const Membership& node : cluster.nodes) cr_assert_eq(node.usable().size(), 20);
 }
 
-Test(membership, a_dead_member_is_noticed_by_all) {
+Test(membership, a_dead_member_is_detected_by_all) {
   Cluster cluster(20);
   cluster.run(30s);
   cluster.dead.insert(7);
@@ -80,41 +80,41 @@
   for (std::size_t i = 0; i < 20; ++i) cr_assert_eq(cluster.nodes[i].usable().size(), 19);
 }
 
-Test(membership, halves_that_lost_each_other_find_each_other_again) {
+Test(membership, partitioned_halves_merge_again) {
   Cluster cluster(20);
   cluster.run(60s);
-  cluster.split = true;
+  cluster.partitioned = true;
   cluster.run(90s);
   for (const Membership& node : cluster.nodes) cr_assert_eq(node.usable().size(), 10);
-  cluster.split = false;
+  cluster.partitioned = false;
   cluster.run(60s);
   for (const Membership& node : cluster.nodes) cr_assert_eq(node.usable().size(), 20);
 }
 
-Test(membership, lost_datagrams_start_no_rumours) {
+Test(membership, lost_datagrams_cause_few_state_changes) {
   Cluster cluster(60);
   cluster.run(120s);
   std::vector<std::uint64_t> before;
-  for (const Membership& node : cluster.nodes) before.push_back(node.changes());
-  cluster.lose_every = 50;
+  for (const Membership& node : cluster.nodes) before.push_back(node.change_count());
+  cluster.loss_interval = 50;
   cluster.run(120s);
   for (std::size_t i = 0; i < 60; ++i) {
-    cr_assert_leq(cluster.nodes[i].changes() - before[i], 6);
+    cr_assert_leq(cluster.nodes[i].change_count() - before[i], 6);
     cr_assert_eq(cluster.nodes[i].usable().size(), 60);
   }
 }
 
-Test(membership, a_live_member_refutes_a_false_word) {
+Test(membership, a_live_member_refutes_a_false_report) {
   Cluster cluster(5);
   cluster.run(10s);
-  MemberFact wrong = cluster.nodes[2].self();
-  wrong.state = MemberState::kDead;
-  cluster.nodes[0].on_facts(cluster.now, {wrong});
+  MemberFact false_report = cluster.nodes[2].self();
+  false_report.state = MemberState::kDead;
+  cluster.nodes[0].on_facts(cluster.now, {false_report});
   cluster.run(20s);
   for (const Membership& node : cluster.nodes) cr_assert_eq(node.usable().size(), 5);
 }
 
-Test(membership, duties_move_only_from_members_that_left) {
+Test(membership, duties_move_only_from_removed_members) {
   SHUNTBANK_PROPERTY("removing a member moves only its duties", [] {
     std::vector<MemberFact> members;
     const int count = *rc::gen::inRange(2, 20);
@@ -122,10 +122,11 @@
       members.push_back({NodeId("n" + std::to_string(i)), 1, 1, {}, {}, {}, {}});
     }
     const std::string duty = *rc::gen::arbitrary<std::string>();
-    const NodeId holder = rank_for_duty(duty, members, 1).front().node;
+    const NodeId duty_holder = rank_for_duty(duty, members, 1).front().node;
     const std::size_t removed = *rc::gen::inRange<std::size_t>(0, members.size());
-    const NodeId gone = members[removed].node;
+    const NodeId removed_node = members[removed].node;
     members.erase(members.begin() + static_cast<std::ptrdiff_t>(removed));
-    if (gone != holder) RC_ASSERT(rank_for_duty(duty, members, 1).front().node == holder);
+    if (removed_node != duty_holder)
+      RC_ASSERT(rank_for_duty(duty, members, 1).front().node == duty_holder);
   });
 }
--- a/tests/protocol/lease_codec_test.cpp
+++ b/tests/protocol/lease_codec_test.cpp
@@ -14,7 +14,7 @@
   for (const char* text : {"null", "[]", "5", R"({"holder":1,"epoch":"x","length":{}})"}) {
     const LeaseRecord record = lease_from_json(json::parse(text));
     cr_assert_eq(record.epoch, 0, "%s", text);
-    cr_assert_gt(record.length.count(), 0, "%s", text);
+    cr_assert_gt(record.duration.count(), 0, "%s", text);
   }
   cr_assert_eq(lease_from_json(json::parse(R"({"epoch":9,"holder":[]})")).epoch, 9);
 }
--- a/tests/protocol/usage_message_test.cpp
+++ b/tests/protocol/usage_message_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-usage::ToldUsage told_of(int tenants) {
-  usage::ToldUsage told;
+usage::UsageCounts told_of(int tenants) {
+  usage::UsageCounts told;
   told.node = NodeId("n1");
   told.boot = 0xFFFFFFFFFFULL;
   told.sequence = 9;
@@ -25,7 +25,7 @@
 
 Test(usage_message, parts_fit_into_datagrams_and_hold_every_count_once) {
   for (const int tenants : {0, 1, 59, 60, 61, 400}) {
-    const usage::ToldUsage whole = told_of(tenants);
+    const usage::UsageCounts whole = told_of(tenants);
     usage::TenantCounts sum;
     const auto messages = encode_parts(whole);
     for (const std::string& bytes : messages) {
