--- a/src/core/admission/fair_queue.cpp
+++ b/src/core/admission/fair_queue.cpp
@@ -76,11 +76,10 @@
   return expired;
 }
 
-void FairQueue::correct_cost(const TenantName& tenant, double weight, double estimated_cost,
-                             double actual_cost) {
+void FairQueue::correct_cost(const TenantName& tenant, double weight, double estimated,
+                             double actual) {
   const auto found = tenants_.find(tenant);
-  if (found != tenants_.end())
-    found->second.virtual_finish += (actual_cost - estimated_cost) / weight;
+  if (found != tenants_.end()) found->second.virtual_finish += (actual - estimated) / weight;
 }
 
 std::size_t FairQueue::size_of(const TenantName& tenant) const {
--- a/src/core/admission/fair_queue.hpp
+++ b/src/core/admission/fair_queue.hpp
@@ -44,8 +44,7 @@
   std::vector<QueueItem> take_expired(MonotonicTime now);
 
   /// Corrects a tenant's share once the true cost of a served request is known.
-  void correct_cost(const TenantName& tenant, double weight, double estimated_cost,
-                    double actual_cost);
+  void correct_cost(const TenantName& tenant, double weight, double estimated, double actual);
 
   std::size_t size() const { return size_; }
   std::size_t size_of(const TenantName& tenant) const;
--- a/src/core/capacity/capacity_planner.cpp
+++ b/src/core/capacity/capacity_planner.cpp
@@ -124,7 +124,7 @@
     const Purchase purchase{zone, false};
     if (left == 0 || !this->may_request(now, purchase)) continue;
     const std::uint32_t headroom =
-        scale.max_engines - std::min(scale.max_engines, plan[purchase] + present.at(zone).spot);
+        scale.max - std::min(scale.max, plan[purchase] + present.at(zone).spot);
     const std::uint32_t more = std::min(left, headroom);
     plan[purchase] += more;
     left -= more;
@@ -134,8 +134,7 @@
 Purchases CapacityPlanner::plan(MonotonicTime now, const EngineScale& scale, std::uint32_t needed,
                                 const EnginesByZone& present) {
   Purchases plan;
-  if (this->settings.strategy == SpotStrategy::kNone || scale.min_engines > scale.max_engines)
-    return plan;
+  if (this->settings.strategy == SpotStrategy::kNone || scale.min > scale.max) return plan;
   const std::uint32_t spot = this->spot_target(scale, needed, present.size());
   this->place_full_price(now, scale, this->full_price_target(now, scale, needed, present), present,
                          plan);
@@ -143,10 +142,10 @@
     const Purchase purchase{zone, true};
     // Both together stay within the limits, also while those at full price are still there.
     const std::uint32_t full = std::max(engines.full, plan[{zone, false}]);
-    const std::uint32_t headroom = scale.max_engines - std::min(scale.max_engines, full);
+    const std::uint32_t headroom = scale.max - std::min(scale.max, full);
     if (scale.spot_price) plan[purchase] = std::min(spot, headroom);
     const std::uint32_t both = plan[{zone, false}] + (scale.spot_price ? plan[purchase] : 0);
-    if (both < scale.min_engines) plan[{zone, false}] += scale.min_engines - both;
+    if (both < scale.min) plan[{zone, false}] += scale.min - both;
   }
   return plan;
 }
--- a/src/core/capacity/capacity_planner.hpp
+++ b/src/core/capacity/capacity_planner.hpp
@@ -17,8 +17,8 @@
 
 /// What the operator allows and pays for the engines of one service.
 struct EngineScale {
-  std::uint32_t min_engines = 1;           ///< In each zone, of both prices together.
-  std::uint32_t max_engines = 1;           ///< The same.
+  std::uint32_t min = 1;                   ///< In each zone, of both prices together.
+  std::uint32_t max = 1;                   ///< The same.
   Duration startup = Duration::zero();     ///< From an order until a new engine serves.
   std::optional<double> spot_price;        ///< Of the full price; unset: there are no such engines.
   std::map<ZoneName, double> zone_prices;  ///< Of an engine at full price, for each second.
--- a/src/core/relay/routes.cpp
+++ b/src/core/relay/routes.cpp
@@ -91,7 +91,7 @@
 void RouteTable::check_scales() {
   for (std::size_t i = 0; i < configuration_.services.size(); ++i) {
     const auto& scale = configuration_.services[i].scale;
-    if (!scale || scale->min_engines <= scale->max_engines) continue;
+    if (!scale || scale->min <= scale->max) continue;
     doubts_.add("services/" + std::to_string(i) + "/scale",
                 "the least count passes the most: no engines are ordered");
   }
--- a/src/protocol/configuration_message.cpp
+++ b/src/protocol/configuration_message.cpp
@@ -93,8 +93,8 @@
 json to_json(const capacity::EngineScale& scale) {
   json prices = json::object();
   for (const auto& [zone, price] : scale.zone_prices) prices[zone.value()] = price;
-  json object = {{"least", scale.min_engines},
-                 {"most", scale.max_engines},
+  json object = {{"least", scale.min},
+                 {"most", scale.max},
                  {"startup", micros(scale.startup)},
                  {"prices", std::move(prices)}};
   if (scale.spot_price) object["spot"] = *scale.spot_price;
@@ -103,8 +103,8 @@
 
 capacity::EngineScale scale_of(const json& object) {
   capacity::EngineScale scale;
-  scale.min_engines = object.at("least").get<std::uint32_t>();
-  scale.max_engines = object.at("most").get<std::uint32_t>();
+  scale.min = object.at("least").get<std::uint32_t>();
+  scale.max = object.at("most").get<std::uint32_t>();
   scale.startup = duration_of(object, "startup");
   if (object.contains("spot")) scale.spot_price = object["spot"].get<double>();
   for (const auto& [zone, price] : object.at("prices").items()) {
--- a/tests/core/capacity/capacity_planner_test.cpp
+++ b/tests/core/capacity/capacity_planner_test.cpp
@@ -15,8 +15,8 @@
 
 EngineScale scale_of(std::uint32_t max_engines) {
   EngineScale scale;
-  scale.min_engines = 1;
-  scale.max_engines = max_engines;
+  scale.min = 1;
+  scale.max = max_engines;
   scale.spot_price = 0.2;
   scale.zone_prices = {{kA, 0.85}, {kB, 1.2}, {kC, 1.0}};
   return scale;
@@ -89,7 +89,7 @@
     provider.step(200ms);
     cr_assert_geq(provider.total(), provider.needed, "turn %d: %u", i, provider.total());
     for (const auto& [zone, engines] : provider.present) {
-      cr_assert_leq(engines.full + engines.spot, provider.scale.max_engines);
+      cr_assert_leq(engines.full + engines.spot, provider.scale.max);
     }
   }
 }
@@ -137,13 +137,13 @@
   swap.run_until_stable();
   cr_assert_eq(swap.total(), 30);
   Provider spare(without_full_price_minimum());
-  spare.scale.min_engines = 20;
+  spare.scale.min = 20;
   spare.run_until_stable();
   for (const auto& [zone, engines] : spare.present) {
     cr_assert_geq(engines.full + engines.spot, 20);
   }
   Provider invalid;
-  invalid.scale.min_engines = 100;
+  invalid.scale.min = 100;
   cr_assert(invalid.step().empty());
 }
 
--- a/tests/core/membership/membership_test.cpp
+++ b/tests/core/membership/membership_test.cpp
@@ -122,11 +122,10 @@
       members.push_back({NodeId("n" + std::to_string(i)), 1, 1, {}, {}, {}, {}});
     }
     const std::string duty = *rc::gen::arbitrary<std::string>();
-    const NodeId duty_holder = rank_for_duty(duty, members, 1).front().node;
+    const NodeId holder = rank_for_duty(duty, members, 1).front().node;
     const std::size_t removed = *rc::gen::inRange<std::size_t>(0, members.size());
     const NodeId removed_node = members[removed].node;
     members.erase(members.begin() + static_cast<std::ptrdiff_t>(removed));
-    if (removed_node != duty_holder)
-      RC_ASSERT(rank_for_duty(duty, members, 1).front().node == duty_holder);
+    if (removed_node != holder) RC_ASSERT(rank_for_duty(duty, members, 1).front().node == holder);
   });
 }
--- a/tests/core/relay/routes_test.cpp
+++ b/tests/core/relay/routes_test.cpp
@@ -77,8 +77,8 @@
   RelayedService service;
   service.name = ServiceName("s");
   service.scale.emplace();
-  service.scale->min_engines = 5;
-  service.scale->max_engines = 4;
+  service.scale->min = 5;
+  service.scale->max = 4;
   configuration.services = {service};
   const TenantKey key{"ab12", std::nullopt};
   configuration.tenants = {{TenantName("guild"), {key}, std::nullopt},
--- a/tests/protocol/configuration_message_test.cpp
+++ b/tests/protocol/configuration_message_test.cpp
@@ -34,7 +34,7 @@
   service.model->slots = 64;
   service.model->kv_tokens = 399523;
   service.scale.emplace();
-  service.scale->max_engines = 94;
+  service.scale->max = 94;
   service.scale->spot_price = 0.18;
   service.scale->zone_prices = {{ZoneName("z"), 0.85}};
   relay::RelayedService plain;
--- a/tests/relay/capacity_coordinator_test.cpp
+++ b/tests/relay/capacity_coordinator_test.cpp
@@ -47,7 +47,7 @@
 relay::RouteConfiguration with_scale(std::uint64_t version) {
   relay::RouteConfiguration configuration = RelayFixture::configuration(version);
   capacity::EngineScale scale;
-  scale.max_engines = 20;
+  scale.max = 20;
   scale.startup = 2s;
   scale.spot_price = 0.2;
   scale.zone_prices = {{ZoneName("z1"), 1.0}, {ZoneName("z2"), 1.1}, {ZoneName("z3"), 1.2}};
@@ -162,7 +162,7 @@
 Test(capacity_coordinator, changes_a_large_fleet_over_in_steps) {
   Buyer buyer;
   auto configuration = with_scale(2);
-  configuration.services.at(1).scale->max_engines = 2000;
+  configuration.services.at(1).scale->max = 2000;
   buyer.site.node->adopt(configuration);
   for (const char* zone : {"z1", "z2", "z3"}) {
     for (int i = 0; i < 400; ++i) buyer.add("f" + std::to_string(i) + zone, zone);
