--- a/src/core/admission/fair_queue.cpp
+++ b/src/core/admission/fair_queue.cpp
@@ -5,7 +5,7 @@
 namespace shuntbank {
 namespace {
 
-/// Idle tenants are forgotten once there are this many, so that memory follows what is in use.
+/// Number of tenants from which idle ones are dropped, to bound memory.
 constexpr std::size_t kMaxIdleTenants = 4096;
 
 }  // namespace
@@ -14,7 +14,7 @@
   if (size_ >= max_items_) return false;
   if (tenants_.size() >= kMaxIdleTenants) expire_idle_tenants();
   TenantState& tenant = tenants_[item.tenant];
-  // A tenant that was idle starts at the present; it saves up no claim on the past.
+  // A tenant that was idle starts at the current virtual time, without credit for the past.
   if (tenant.count == 0) tenant.virtual_finish = std::max(tenant.virtual_finish, virtual_time_);
   tenant.waiting[item.priority].push_back(item);
   ++tenant.count;
--- a/src/core/admission/fair_queue.hpp
+++ b/src/core/admission/fair_queue.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Waiting requests in the order that is fair across tenants: by priority, then by start-time fair
-/// queueing on tokens, each tenant in proportion to its weight.
+/// Fair queueing of requests across tenants: by priority, then by start-time fair queueing on
+/// tokens, in proportion to the tenants' weights.
 #pragma once
 
 #include <cstdint>
@@ -28,22 +28,23 @@
 /// A bounded queue of waiting requests.
 class FairQueue {
  public:
-  /// @param max_items most requests that wait at once, of all tenants together.
+  /// @param max_items maximum number of waiting requests of all tenants together.
   explicit FairQueue(std::size_t max_items) : max_items_(max_items) {}
 
-  /// @return false when the queue is full: refuse the request now.
+  /// @return false when the queue is full.
   bool push(const QueueItem& item);
 
   /// @return the next request to serve.
   std::optional<QueueItem> pop();
 
-  /// Takes a request out, if it still waits.
+  /// Removes a request.
+  /// @return whether it was still waiting.
   bool remove(std::uint64_t id);
 
-  /// @return and takes out all requests whose deadline has passed.
+  /// Removes and returns all requests whose deadline has passed.
   std::vector<QueueItem> take_expired(MonotonicTime now);
 
-  /// Corrects a tenant's share once the true cost of a served request is known.
+  /// Corrects a tenant's virtual time once the actual cost of a served request is known.
   void correct_cost(const TenantName& tenant, double weight, double estimated, double actual);
 
   std::size_t size() const { return size_; }
--- a/src/core/admission/tenant_limiter.cpp
+++ b/src/core/admission/tenant_limiter.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kSecondsPerMinute = 60.0;
 
-/// A bucket holds what flows in during this time, so a burst is bounded to a part of the minute.
+/// Bucket size in seconds of refill; bounds a burst.
 constexpr double kBurstSeconds = 10.0;
 
 constexpr Duration kConcurrencyRetry = std::chrono::seconds(1);
@@ -17,7 +17,7 @@
   return per_minute * share / kSecondsPerMinute;
 }
 
-/// A bucket holds at least one request, however small the share of the limit.
+/// @param min_size keeps a bucket usable however small the share of the limit.
 double bucket_size(double rate, double min_size) {
   return std::max(rate * kBurstSeconds, min_size);
 }
@@ -34,8 +34,8 @@
   const double request_bucket = bucket_size(request_rate, 1.0);
   const double token_bucket = bucket_size(token_rate, 0.0);
   if (!account.initialized) {
-    // What an earlier life of the process admitted is not known: a bucket fills from the start of
-    // the process. One request is let in, so that a node which has just started turns nobody away.
+    // What was admitted before a restart is unknown, so a bucket fills from the start of the
+    // process. It starts with one request, so that a new node does not refuse the first one.
     account.initialized = true;
     account.refilled_at = started_;
     account.requests = 1;
@@ -62,7 +62,7 @@
     const double rate = rate_per_second(limits.requests_per_minute, share_);
     return LimitRefusal{LimitKind::kRequestRate, time_until(1.0 - account.requests, rate)};
   }
-  // Tokens may be overdrawn by one request, whose true cost is not known; it is paid back in time.
+  // One request may overdraw the bucket, as its actual cost is unknown; refills repay it.
   if (limits.tokens_per_minute > 0 && account.tokens <= 0) {
     const double rate = rate_per_second(static_cast<double>(limits.tokens_per_minute), share_);
     return LimitRefusal{LimitKind::kTokenRate, time_until(1.0 - account.tokens, rate)};
--- a/src/core/admission/tenant_limiter.hpp
+++ b/src/core/admission/tenant_limiter.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A tenant's limits as one node enforces them: token buckets for rates and a count of requests in
-/// flight. Each node enforces a share of the limit; the shares of all nodes add up to the limit.
+/// Per-node enforcement of tenant limits: token buckets for rates and a count of requests in
+/// flight. Each node enforces a share of the limit; all shares add up to the limit.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 /// Which limit refused a request.
 enum class LimitKind { kRequestRate, kTokenRate, kConcurrency };
 
-/// A refusal and when a later try makes sense.
+/// A refusal and the delay before a retry.
 struct LimitRefusal {
   LimitKind kind = LimitKind::kRequestRate;
   Duration retry_after{0};
@@ -25,19 +25,19 @@
 /// Limits of all tenants on this node.
 class TenantLimiter {
  public:
-  /// @param started when the process began to admit.
+  /// @param started when the process began to admit requests.
   explicit TenantLimiter(MonotonicTime started) : started_(started) {}
 
-  /// Sets the share of every limit that this node enforces, such as one in the count of nodes.
+  /// Sets the fraction of each limit that this node enforces, such as 1 / node count.
   void set_share(double share) { share_ = share; }
 
-  /// Counts a request in when no limit is in its way.
+  /// Admits a request unless a limit is reached, and counts it.
   /// @param estimated_tokens tokens that the request is expected to use.
   /// @return nothing when admitted, else the refusal.
   std::optional<LimitRefusal> admit(MonotonicTime now, const TenantName& tenant,
                                     const TenantLimits& limits, double estimated_tokens);
 
-  /// Counts an admitted request out and corrects its estimate.
+  /// Ends an admitted request and corrects its token estimate.
   void finish(const TenantName& tenant, double estimated_tokens, double actual_tokens);
 
  private:
--- a/src/core/capacity/capacity_planner.cpp
+++ b/src/core/capacity/capacity_planner.cpp
@@ -20,7 +20,7 @@
   return price == scale.zone_prices.end() ? 1 : price->second;
 }
 
-/// @return the zones, those where engines are cheapest first.
+/// @return the zones, cheapest first.
 std::vector<ZoneName> zones_by_price(const EngineScale& scale, const EnginesByZone& present) {
   std::vector<ZoneName> zones;
   for (const auto& [zone, engines] : present) zones.push_back(zone);
@@ -74,7 +74,7 @@
   return until == this->unavailable_until.end() || now >= until->second;
 }
 
-/// @return engines at full price that are kept in any case.
+/// @return the minimum number of full-price engines.
 std::uint32_t CapacityPlanner::min_full_price_engines(const EngineScale& scale,
                                                       std::uint32_t needed) const {
   const bool spot_worthwhile =
@@ -83,7 +83,7 @@
   return static_cast<std::uint32_t>(std::ceil(this->settings.min_full_price_share * needed));
 }
 
-/// @return spot engines for each zone.
+/// @return the number of spot engines per zone.
 std::uint32_t CapacityPlanner::spot_target(const EngineScale& scale, std::uint32_t needed,
                                            std::size_t zones) const {
   const std::uint32_t spot_share =
@@ -92,8 +92,8 @@
   return divide_rounding_up(spot_share, spare ? zones - 1 : zones);
 }
 
-/// What the spot engines that serve now leave to be had at full price. More is wanted at once, less
-/// only once it has stood for a while.
+/// @return the full-price engines needed besides the present spot engines. Increases apply at once,
+/// decreases only after `surplus_release_delay`.
 std::uint32_t CapacityPlanner::full_price_target(MonotonicTime now, const EngineScale& scale,
                                                  std::uint32_t needed,
                                                  const EnginesByZone& present) {
@@ -108,8 +108,8 @@
   return now - *this->surplus_since >= this->settings.surplus_release_delay ? wanted : full;
 }
 
-/// Engines that are there stay where they are, as their caches are worth something; more are had
-/// where they are cheapest, and given back where they are dearest.
+/// Keeps present engines in place for their caches, adds engines in the cheapest zones and releases
+/// those in the most expensive ones.
 void CapacityPlanner::place_full_price(MonotonicTime now, const EngineScale& scale,
                                        std::uint32_t wanted, const EnginesByZone& present,
                                        Purchases& plan) const {
@@ -140,7 +140,7 @@
                          plan);
   for (const auto& [zone, engines] : present) {
     const Purchase purchase{zone, true};
-    // Both together stay within the limits, also while those at full price are still there.
+    // Spot and full-price engines together stay within the maximum, also during the changeover.
     const std::uint32_t full = std::max(engines.full, plan[{zone, false}]);
     const std::uint32_t headroom = scale.max - std::min(scale.max, full);
     if (scale.spot_price) plan[purchase] = std::min(spot, headroom);
--- a/src/core/capacity/capacity_planner.hpp
+++ b/src/core/capacity/capacity_planner.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// Decides how many engines of each price a service is to have in each zone. It answers one
-/// pattern: cheap engines (spot) that the provider may take back, a whole zone's worth at once,
-/// before engines at full price that stay.
+/// Decides how many spot and full-price engines a service should have in each zone. The provider
+/// may reclaim spot engines, all those of a zone at once; full-price engines stay.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +14,18 @@
 
 namespace shuntbank::capacity {
 
-/// What the operator allows and pays for the engines of one service.
+/// Scaling limits and prices of the engines of one service.
 struct EngineScale {
-  std::uint32_t min = 1;                   ///< In each zone, of both prices together.
-  std::uint32_t max = 1;                   ///< The same.
-  Duration startup = Duration::zero();     ///< From an order until a new engine serves.
-  std::optional<double> spot_price;        ///< Of the full price; unset: there are no such engines.
-  std::map<ZoneName, double> zone_prices;  ///< Of an engine at full price, for each second.
+  std::uint32_t min = 1;                   ///< Per zone, spot and full price together.
+  std::uint32_t max = 1;                   ///< Per zone, spot and full price together.
+  Duration startup = Duration::zero();     ///< From an order until the new engine serves.
+  std::optional<double> spot_price;        ///< Fraction of the full price; unset: no spot engines.
+  std::map<ZoneName, double> zone_prices;  ///< Per second, of a full-price engine.
 
   bool operator==(const EngineScale&) const = default;
 };
 
-/// Engines of one service in one zone that serve now and have not been told to leave.
+/// Engines of one service in one zone that serve and are not being drained.
 struct ZoneEngines {
   std::uint32_t full = 0;
   std::uint32_t spot = 0;
@@ -36,10 +35,10 @@
 
 using EnginesByZone = std::map<ZoneName, ZoneEngines>;
 
-/// @return the engines of all zones together.
+/// @return the sum over all zones.
 ZoneEngines total_engines(const EnginesByZone& present);
 
-/// Engines of one price in one zone.
+/// Kind of engine to buy: spot or full price, in one zone.
 struct Purchase {
   ZoneName zone;
   bool spot = false;
@@ -47,50 +46,50 @@
   auto operator<=>(const Purchase&) const = default;
 };
 
-/// How many of each there are to be.
+/// Target number of engines of each kind.
 using Purchases = std::map<Purchase, std::uint32_t>;
 
-/// How engines are bought.
+/// How spot engines are used.
 enum class SpotStrategy {
   kNone,       ///< Nothing is ordered.
-  kSpotSwap,   ///< As many spot engines as the service needs, without regard to their loss.
-  kSpotSpare,  ///< So many that the service has what it needs while any one zone's are lost.
+  kSpotSwap,   ///< As many spot engines as needed, without spares.
+  kSpotSpare,  ///< Enough spot engines to lose those of any one zone.
 };
 
 /// Reads and writes the names `none`, `spot-swap` and `spot-spare`.
 std::istream& operator>>(std::istream& in, SpotStrategy& strategy);
 std::ostream& operator<<(std::ostream& out, SpotStrategy strategy);
 
-/// Tunables of the planner.
+/// Settings of the planner.
 struct CapacitySettings {
   SpotStrategy strategy = SpotStrategy::kSpotSpare;
-  /// Spot engines at no less than this part of the full price do not pay for their risk: of three
-  /// zones one is spare, so that they cost one and a half times as much as they say.
+  /// Spot engines are used below this fraction of the full price only: with three zones a third of
+  /// them are spares, which makes the needed ones cost one and a half times as much.
   double max_spot_price = 0.6;
-  /// Of what is needed, the part that is kept at full price whatever spot engines there are: when
-  /// these are taken back, what they kept in their caches goes with them.
+  /// Fraction of the needed engines that always stays at full price, since the caches of spot
+  /// engines are lost when these are reclaimed.
   double min_full_price_share = 0.5;
-  /// Nobody is asked again for engines of which there are none, within this.
+  /// Delay before unavailable engines are requested again.
   Duration unavailable_retry_interval = std::chrono::seconds(3);
-  /// Engines at full price are given back once they were too many for so long: those that start are
-  /// counted a moment too early, and what is given back cannot be had again at once.
+  /// How long a surplus must last before full-price engines are released: starting engines are
+  /// counted slightly early, and a released engine cannot be replaced at once.
   Duration surplus_release_delay = std::chrono::milliseconds(1200);
 };
 
-/// Plans for one service. Knows no clock: callers pass the time in.
+/// Plans for one service. Callers pass in the time.
 class CapacityPlanner {
  public:
   explicit CapacityPlanner(const CapacitySettings& own_settings) : settings(own_settings) {}
 
-  /// @param needed engines that the service is to have at any time.
-  /// @return what there should be now.
+  /// @param needed engines that the service must have at any time.
+  /// @return the target numbers of engines.
   Purchases plan(MonotonicTime now, const EngineScale& scale, std::uint32_t needed,
                  const EnginesByZone& present);
 
-  /// There were none of these to be had.
+  /// The provider had no engines of this kind.
   void on_unavailable(MonotonicTime now, const Purchase& purchase);
 
-  /// @return whether it makes sense to ask for these now.
+  /// @return whether engines of this kind may be requested now.
   bool may_request(MonotonicTime now, const Purchase& purchase) const;
 
  private:
--- a/src/core/configuration/config_replica.hpp
+++ b/src/core/configuration/config_replica.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A node's copy of the configuration. Revisions only grow.
+/// A node's copy of the configuration. Its revision never decreases.
 #pragma once
 
 #include <memory>
@@ -11,30 +11,30 @@
 
 namespace shuntbank {
 
-/// What became of an offered document.
+/// Outcome of an offered document.
 enum class OfferResult {
   kAdopted,
-  kNotNewer,     ///< Not newer than what is held: nothing changes.
-  kBaseMissing,  ///< Changes since a revision that is not held: ask for more.
-  kInvalid,      ///< Fails the check as a whole: nothing changes.
+  kNotNewer,     ///< Not newer than the held revision: nothing changes.
+  kBaseMissing,  ///< The changes start after the held revision: earlier ones are needed.
+  kInvalid,      ///< Fails validation: nothing changes.
 };
 
-/// Holds the newest known document and the snapshot that requests are served under.
+/// Holds the newest known document and the snapshot for serving requests.
 class ConfigReplica {
  public:
-  /// Takes over a whole document when it is newer.
+  /// Adopts a full document when it is newer.
   OfferResult offer(const ConfigDocument& document);
 
-  /// Takes over the changes since `base` when that joins up with what is held.
+  /// Applies the changes since `base` when the held revision is at least `base`.
   OfferResult offer_changes(Revision base, const ConfigDocument& changes);
 
   Revision revision() const { return document_.revision; }
   const ConfigDocument& document() const { return document_; }
 
-  /// @return the snapshot to serve under; null until the first document was adopted.
+  /// @return the snapshot for serving; null until a document was adopted.
   const SnapshotPointer& snapshot() const { return snapshot_; }
 
-  /// @return the findings of the last invalid offer.
+  /// @return the validation findings of the last invalid offer.
   const Findings& findings() const { return findings_; }
 
  private:
--- a/src/core/lease/lease_holder.cpp
+++ b/src/core/lease/lease_holder.cpp
@@ -20,8 +20,8 @@
     return LeaseAction::kWrite;
   }
   if (!wanted) return LeaseAction::kNothing;
-  // Someone else's record, or one of ours from before a pause: wait it out from when it was first
-  // seen unchanged, because its writer counts from before that moment.
+  // A record of another node, or an earlier one of this node: it has expired once its duration has
+  // passed since it was first seen, as its writer counts from an earlier moment.
   const bool expired = seen_.version == 0 || now >= seen_changed_at_ + seen_.record.duration;
   if (!expired) {
     call_pending_ = true;
@@ -68,7 +68,7 @@
   call_pending_ = false;
   next_poll_ = now + settings_.renew_interval;
   if (!applied) {
-    // The record is not what was believed. Read it before the next decision.
+    // The stored record has changed: read it before the next decision.
     seen_valid_ = false;
     unconfirmed_write_at_.reset();
     next_poll_ = now;
@@ -82,7 +82,7 @@
 
 void LeaseHolder::confirm_write(MonotonicTime sent_at) {
   epoch_ = pending_.record.epoch;
-  // Counted from the sending, which is earlier than the moment the store applied it.
+  // Counted from sending, which is before the store applied the write.
   valid_until_ = sent_at + settings_.duration - settings_.safety_margin;
 }
 
--- a/src/core/lease/lease_holder.hpp
+++ b/src/core/lease/lease_holder.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A lease in the platform's store, taken by compare-and-set, whose epoch fences orders.
-/// The holder stops on its own clock; safety rests on the fence at the engine, not on the clock.
+/// A lease in the platform's store, acquired by compare-and-set, whose epoch fences orders.
+/// The holder stops acting by its own clock; safety relies on the fence at the engine.
 #pragma once
 
 #include <cstdint>
@@ -16,66 +16,65 @@
 struct LeaseRecord {
   NodeId holder;
   Fence epoch = 0;
-  std::string write_id;  ///< Chosen by the writer for each write; settles a lost answer.
-  Duration duration{0};  ///< How long the holder may act after it sent this write.
+  std::string write_id;  ///< Unique for each write; shows whether an unanswered write was applied.
+  Duration duration{0};  ///< How long the holder may act after sending this write.
 
   bool operator==(const LeaseRecord&) const = default;
 };
 
-/// A stored record with the version for compare-and-set. Version zero: nothing is stored yet.
+/// A stored record and its version for compare-and-set. Version zero: nothing is stored yet.
 struct VersionedLease {
   std::uint64_t version = 0;
   LeaseRecord record;
 };
 
-/// Bounds of a lease.
+/// Timing of a lease.
 struct LeaseSettings {
   Duration duration = std::chrono::seconds(10);
   Duration renew_interval = std::chrono::seconds(3);
-  Duration safety_margin =
-      std::chrono::seconds(2);  ///< A holder stops this long before the lease ends.
+  Duration safety_margin = std::chrono::seconds(2);  ///< A holder stops this long before expiry.
 };
 
-/// What the driver does next for one lease.
+/// What the caller must do next for one lease.
 enum class LeaseAction {
   kNothing,
-  kRead,   ///< Read the record and report it by `on_read`.
-  kWrite,  ///< Compare-and-set `pending_write` and report by `on_written` or `on_write_unanswered`.
+  kRead,   ///< Read the record, then call `on_read` or `on_read_failed`.
+  kWrite,  ///< Compare-and-set `pending_write`, then call `on_written` or `on_write_unanswered`.
 };
 
-/// One node's part in one lease.
+/// One node's state machine for one lease.
 class LeaseHolder {
  public:
   LeaseHolder(NodeId self, const LeaseSettings& settings);
 
-  /// @return what to do now. At most one read or write is outstanding at a time.
-  /// @param wanted whether this node should hold the lease, by the current members.
+  /// @return what to do now. At most one read or write is in flight.
+  /// @param wanted whether this node should hold the lease given the current members.
   /// @param write_id a fresh identifier, used if a write follows.
   LeaseAction poll(MonotonicTime now, bool wanted, const std::string& write_id);
 
-  /// The store's record was read.
+  /// The record was read from the store.
   void on_read(MonotonicTime now, const VersionedLease& lease);
 
-  /// The read got no answer; it is tried again after a while.
+  /// The read got no answer; it is retried after the renew interval.
   void on_read_failed(MonotonicTime now);
 
-  /// The write was answered. @param applied false when the version had moved on.
+  /// The write was answered. @param applied false when the stored version had changed.
   void on_written(MonotonicTime now, bool applied, std::uint64_t version);
 
-  /// The write got no answer. It may have taken effect, so the record is read before anything else.
+  /// The write got no answer. It may have been applied, so the record is read next.
   void on_write_unanswered(MonotonicTime now);
 
-  /// Sets how often a node that does not hold the lease reads it. A long interval only delays that
-  /// this node takes the lease over.
+  /// Sets how often a node that does not hold the lease reads it. A long interval only delays a
+  /// takeover by this node.
   void set_standby_interval(Duration interval) { standby_interval_ = interval; }
 
-  /// Gives the lease up: no order may be sent from here on.
+  /// Gives up the lease: no order may be sent afterwards.
   void resign();
 
-  /// @return the fence while this node may act, else nothing. Ask right before each order leaves.
+  /// @return the fence while this node may act, else nothing. Check right before sending an order.
   std::optional<Fence> authority(MonotonicTime now) const;
 
-  /// @return the write to send after `LeaseAction::kWrite`; its version is the expected one.
+  /// @return the write to send after `LeaseAction::kWrite`, with the expected stored version.
   const VersionedLease& pending_write() const { return pending_; }
 
   /// @return the record as last seen in the store.
@@ -92,12 +91,12 @@
   bool seen_valid_ = false;
   MonotonicTime seen_changed_at_{};  ///< When this node first saw the current record.
   VersionedLease pending_;
-  std::optional<MonotonicTime> unconfirmed_write_at_;  ///< Set while a write is not settled.
+  std::optional<MonotonicTime> unconfirmed_write_at_;  ///< Set while a write's outcome is unknown.
   bool call_pending_ = false;
   MonotonicTime next_poll_{};
   std::optional<Fence> epoch_;
   MonotonicTime valid_until_{};
-  std::optional<Duration> standby_interval_;  ///< Unset: as often as the holder renews.
+  std::optional<Duration> standby_interval_;  ///< Unset: the renew interval.
 };
 
 }  // namespace shuntbank
--- a/src/core/lease/order.cpp
+++ b/src/core/lease/order.cpp
@@ -10,8 +10,8 @@
 }
 
 OrderVerdict OrderGate::offer(const EngineOrder& order) {
-  // An order whose fence was never claimed here is refused: its sender has not read the state that
-  // it wants to change.
+  // An order whose fence was not claimed is refused: its sender has not read the state that it
+  // changes.
   if (order.stamp.fence != stamp_.fence || order.stamp < stamp_) return OrderVerdict::kStale;
   if (order.stamp == stamp_) {
     return order.desired == desired_ ? OrderVerdict::kRepeated : OrderVerdict::kStale;
--- a/src/core/lease/order.hpp
+++ b/src/core/lease/order.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Orders to engines: the whole desired state of one engine under a fence and a sequence number.
+/// Orders to engines: the complete desired state of one engine, with a fence and a sequence number.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace shuntbank {
 
-/// What an engine should be. An order always carries all of it, so that orders never combine.
+/// Desired state of an engine. Each order carries all of it, so that orders are never merged.
 struct DesiredState {
   EngineRole role = EngineRole::kMixed;
   std::vector<ModelSpec> models;
@@ -20,7 +20,7 @@
   bool operator==(const DesiredState&) const = default;
 };
 
-/// Place of an order in the order of all orders to one engine.
+/// Position of an order in the total order of orders to one engine.
 struct OrderStamp {
   Fence fence = 0;
   Sequence sequence = 0;
@@ -34,20 +34,20 @@
   DesiredState desired;
 };
 
-/// What the engine does with an order or a claim.
+/// Outcome of an order or a claim at the engine.
 enum class OrderVerdict {
   kAccepted,
-  kRepeated,  ///< The same order again: already in force, nothing changes.
-  kStale,     ///< Older than what the engine holds: refused.
+  kRepeated,  ///< A duplicate of the current order: nothing changes.
+  kStale,     ///< Refused: older than the current order, or its fence was not claimed.
 };
 
-/// The engine's side: takes only what is newer than what it holds.
+/// Engine-side check that accepts only orders newer than the current one.
 class OrderGate {
  public:
-  /// Raises the fence. From then on no order under a lower fence is taken.
+  /// Raises the fence. Orders with a lower fence are refused from then on.
   OrderVerdict claim(Fence fence);
 
-  /// Judges an order and, when it is accepted, holds it. A fence must be claimed before its orders.
+  /// Checks an order and stores it when accepted. Its fence must have been claimed before.
   OrderVerdict offer(const EngineOrder& order);
 
   const OrderStamp& stamp() const { return stamp_; }
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -12,10 +12,10 @@
 
 constexpr std::array<const char*, 4> kStateNames{"alive", "suspect", "leaving", "dead"};
 
-/// Sends of a fact for each doubling of the cluster; three reach every member with near certainty.
+/// Sends of a fact per doubling of the cluster size; three reach all members almost surely.
 constexpr int kSendsPerDoubling = 3;
 
-/// One hinted address is tried for each this many heartbeats, to heal a split cluster.
+/// One in this many heartbeats also contacts a hinted address, to heal a network partition.
 constexpr std::uint64_t kHintInterval = 8;
 
 bool supersedes(const MemberFact& candidate, const MemberFact& known) {
@@ -91,7 +91,7 @@
 }
 
 void Membership::add_member_target(MonotonicTime now, std::vector<HeartbeatTarget>& targets) {
-  // Each round visits every member once in random order, which bounds the time to notice a failure.
+  // Each round visits every member once in random order, which bounds the failure detection time.
   while (true) {
     if (heartbeat_round_.empty()) {
       for (const auto& [node, entry] : members_) {
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Who is in the cluster: heartbeats to random members, each with a few facts that spread like a
-/// rumour, and incarnation numbers so that a member can refute what is said of it. The platform's
-/// machine list is only a hint of whom to try.
+/// Gossip-based cluster membership: heartbeats to random members carry a few facts each, and
+/// incarnation numbers let a member refute a false report. The platform's machine list only
+/// supplies addresses to try.
 #pragma once
 
 #include <cstdint>
@@ -16,20 +16,20 @@
 
 namespace shuntbank {
 
-/// Later states override earlier ones of the same incarnation.
+/// In order of precedence: a later state overrides an earlier one of the same incarnation.
 enum class MemberState { kAlive, kSuspect, kLeaving, kDead };
 
-/// @return the name of `state` in logs, messages and status.
+/// @return the name of `state` in logs, messages and status output.
 const char* to_text(MemberState state);
 
-/// @return the state of that name, if there is one.
+/// @return the state with that name, if any.
 std::optional<MemberState> parse_member_state(const std::string& text);
 
 /// What is known of one member.
 struct MemberFact {
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Grows with each start and each refutation of the member.
-  std::uint64_t boot = 0;         ///< Told apart by each start; memory before it is lost.
+  std::uint64_t incarnation = 0;  ///< Grows with each start and each refutation.
+  std::uint64_t boot = 0;  ///< Differs for each process start; earlier in-memory state is lost.
   MemberState state = MemberState::kAlive;
   std::string address;  ///< `IP:PORT` of its cluster interface.
   ZoneName zone;
@@ -38,16 +38,15 @@
   bool operator==(const MemberFact&) const = default;
 };
 
-/// Tunables of the membership.
+/// Settings of the membership protocol.
 struct MembershipSettings {
   Duration heartbeat_interval = std::chrono::seconds(1);
   Duration answer_timeout = std::chrono::milliseconds(400);  ///< Else the answer counts as missed.
-  /// Missed in a row before a member is suspect. A lost datagram must not start a rumour: at 92
-  /// nodes and 1% loss, one miss for a suspicion kept the cluster busy with nothing but
-  /// refutations.
+  /// Consecutive missed answers before a member is suspect, so that one lost datagram causes no
+  /// suspicion.
   int misses_before_suspect = 3;
   Duration suspect_timeout = std::chrono::seconds(3);  ///< Time to refute before a suspect is dead.
-  Duration dead_retention = std::chrono::minutes(5);   ///< Dead members are forgotten after this.
+  Duration dead_retention = std::chrono::minutes(5);   ///< Dead members are removed after this.
   std::size_t facts_per_message = 3;
 };
 
@@ -60,41 +59,41 @@
 /// One node's view of the cluster.
 class Membership {
  public:
-  /// @param seed of the choice of heartbeat targets.
+  /// @param seed for the random choice of heartbeat targets.
   Membership(MemberFact self, const MembershipSettings& settings, std::uint64_t seed);
 
-  /// Advances time. Call it a few times in each heartbeat interval.
-  /// @return whom to send a heartbeat now.
+  /// Advances time. Call it several times in each heartbeat interval.
+  /// @return the targets to send a heartbeat to now.
   std::vector<HeartbeatTarget> tick(MonotonicTime now);
 
-  /// @return the facts to carry on the next message, own fact first; counts them as sent.
-  /// @param to who the message goes to. A member that is taken for dead is told so, and refutes it;
-  /// without that a healed cut would not be noticed.
+  /// @return the facts to include in the next message, own fact first; counts them as sent.
+  /// @param to the recipient. A recipient that is suspect or dead gets that fact so that it can
+  /// refute it, which is how a healed partition is detected.
   std::vector<MemberFact> facts_to_send(const NodeId& to = NodeId());
 
-  /// Takes over facts that are newer than what is known.
+  /// Merges received facts that are newer than the known ones.
   void on_facts(MonotonicTime now, const std::vector<MemberFact>& facts);
 
-  /// A member answered or sent something itself.
+  /// Any message arrived from `node` itself.
   void on_message_received(const NodeId& node);
 
-  /// Addresses to try while nothing better is known, such as the platform's machine list.
+  /// Sets addresses for contacting unknown members, such as the platform's machine list.
   void set_hints(const std::vector<std::string>& addresses);
 
-  /// Says that this node is leaving: it takes no new work and holds no duties.
+  /// Marks this node as leaving: it takes no new work and holds no duties.
   void leave();
 
   /// @return all members that may be given work or duties, self included unless it is leaving.
   /// Valid until the next change.
   const std::vector<MemberFact>& usable() const;
 
-  /// @return what is known of a member, or null.
+  /// @return the known fact of a member, or null.
   const MemberFact* find(const NodeId& node) const;
 
-  /// @return every member that is known, dead ones included.
+  /// @return all known members, dead ones included.
   std::vector<MemberFact> all() const;
 
-  /// @return a digest that is equal where the same facts are known.
+  /// @return a digest that is equal on nodes that know the same facts.
   std::uint64_t digest() const;
 
   const MemberFact& self() const { return self_; }
@@ -125,18 +124,17 @@
   MembershipSettings settings_;
   std::mt19937_64 random_;
   std::map<NodeId, Entry> members_;
-  std::vector<NodeId> retries_;  ///< Members that missed an answer, to be tried again at once.
-  std::vector<NodeId>
-      heartbeat_round_;  ///< Members still to be tried in this round, in random order.
+  std::vector<NodeId> retries_;          ///< Members that missed an answer, to be retried at once.
+  std::vector<NodeId> heartbeat_round_;  ///< Members left in this round, in random order.
   std::vector<std::string> hints_;
   MonotonicTime next_heartbeat_{};
   std::uint64_t change_count_ = 0;
-  mutable std::vector<MemberFact> usable_;  ///< As of `usable_version_`: it is asked for far more
-                                            ///< often than it changes.
+  mutable std::vector<MemberFact> usable_;  ///< Cached as of `usable_version_`, since reads are far
+                                            ///< more frequent than changes.
   mutable std::optional<std::uint64_t> usable_version_;
 };
 
-/// @return a place of `node` for `duty` by rendezvous hashing; the highest holds the duty.
+/// @return the rendezvous hashing score of `node` for `duty`; the highest holds the duty.
 std::uint64_t rendezvous_score(const std::string& duty, const NodeId& node);
 
 /// @return the members ordered by rendezvous score for `duty`, best first, at most `count`.
--- a/src/core/usage/usage_counter.cpp
+++ b/src/core/usage/usage_counter.cpp
@@ -3,8 +3,7 @@
 namespace shuntbank::usage {
 namespace {
 
-/// Beginnings that are remembered at once: half a minute of 3,000 a second, ten times what the
-/// whole fleet of today begins, at 40 bytes each.
+/// Bounds memory: half a minute at 3,000 requests per second, 40 bytes each.
 constexpr std::size_t kMaxStartedRequests = 100000;
 
 }  // namespace
--- a/src/core/usage/usage_counter.hpp
+++ b/src/core/usage/usage_counter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What one node counts: which tenants' requests have begun to run, and when.
+/// Per-node record of when requests of each tenant started to run.
 #pragma once
 
 #include <deque>
@@ -9,25 +9,25 @@
 
 namespace shuntbank::usage {
 
-/// Counts one node's requests. Beginnings are kept by the monotonic clock and put into windows only
-/// when asked: a node that learns late what true time is corrects what it has counted.
+/// Counts one node's requests. Starts are recorded by the monotonic clock and assigned to windows
+/// only when read, so that a late correction of true time applies to earlier requests too.
 class UsageCounter {
  public:
-  /// @param retention_time how long a beginning is remembered.
+  /// @param retention_time how long a start is retained.
   explicit UsageCounter(Duration retention_time) : retention(retention_time) {}
 
-  /// A request of the tenant has begun to run.
+  /// A request of the tenant started to run.
   void on_request_started(MonotonicTime now, const TenantName& tenant);
 
-  /// @param true_time turns a point of the monotonic clock into true time.
-  /// @return what has begun in the window.
+  /// @param true_time converts monotonic time to true time.
+  /// @return the requests that started in the window.
   TenantCounts counts(const WindowClock& window_clock, WindowNumber window,
                       const std::function<UnixMs(MonotonicTime)>& true_time) const;
 
-  /// Forgets what is older than it need be.
+  /// Drops starts older than the retention time.
   void expire(MonotonicTime now);
 
-  /// @return beginnings that could not be remembered, since there were too many.
+  /// @return the number of starts dropped because there were too many.
   std::uint64_t dropped_requests() const { return this->dropped; }
 
  private:
@@ -37,7 +37,7 @@
   };
 
   Duration retention;
-  std::deque<StartedRequest> started;  ///< In order.
+  std::deque<StartedRequest> started;  ///< In order of time.
   std::uint64_t dropped = 0;
 };
 
--- a/src/core/usage/usage_ledger.cpp
+++ b/src/core/usage/usage_ledger.cpp
@@ -6,7 +6,7 @@
 namespace shuntbank::usage {
 
 bool UsageLedger::on_counts(MonotonicTime now, WindowNumber current, const UsageCounts& report) {
-  // The next one may have begun by the clock of a node that is ahead by milliseconds.
+  // The next window may already be open by a clock that is ahead by milliseconds.
   if (report.window > current + 1) return false;
   Incarnation& incarnation = this->incarnations[report.node];
   incarnation.boot = report.boot;
@@ -58,7 +58,7 @@
   const auto found = this->received.find(window);
   std::size_t fully_counted = 0;
   for (const auto& [node, incarnation] : this->incarnations) {
-    // An earlier start of the process that has told of the window counted until it ended.
+    // An earlier incarnation with counts of this window counted until it ended.
     const bool has_earlier =
         found != this->received.end() &&
         std::any_of(found->second.begin(), found->second.end(),
--- a/src/core/usage/usage_ledger.hpp
+++ b/src/core/usage/usage_ledger.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the nodes have told of their usage, at the node that reports it and at those that stand by.
+/// Usage counts received from the nodes, at the reporting node and its backups.
 #pragma once
 
 #include <map>
@@ -10,14 +10,14 @@
 
 namespace shuntbank::usage {
 
-/// A part of what one node has counted in one window.
+/// Counts of one node in one window, or a part of them.
 struct UsageCounts {
   NodeId node;
-  std::uint64_t boot = 0;      ///< Drawn at the start of the process.
-  std::uint64_t sequence = 0;  ///< Rises with each telling of one start; its parts share it.
-  UnixMs clock = 0;            ///< The node's own clock when it told.
-  UnixMs counted_until = 0;    ///< True time, as the node knows it: all that began before is in.
-  UnixMs counting_since = 0;   ///< True time at which the process began to count.
+  std::uint64_t boot = 0;      ///< Random identifier of the process start.
+  std::uint64_t sequence = 0;  ///< Grows with each send of one process; its parts share it.
+  UnixMs clock = 0;            ///< The node's local time when it sent this.
+  UnixMs counted_until = 0;    ///< True time by the node; requests started before it are included.
+  UnixMs counting_since = 0;   ///< True time at which the process started counting.
   WindowNumber window = 0;
   std::uint32_t part = 0;
   std::uint32_t parts = 1;
@@ -26,44 +26,44 @@
   bool operator==(const UsageCounts&) const = default;
 };
 
-/// Tunables of the ledger.
+/// Settings of the ledger.
 struct UsageLedgerSettings {
   WindowClock window_clock;
-  /// A node that was not heard of for so long is not waited for.
+  /// A node silent for this long is not waited for.
   Duration node_timeout = std::chrono::milliseconds(3500);
-  /// Windows that are remembered.
+  /// Number of past windows retained.
   WindowNumber retained_windows = 8;
-  /// Of the nodes heard, the part that must have counted through a whole window: less would tell a
-  /// tenant that he has used less than he has, which nobody could put right later.
+  /// Fraction of the known nodes that must have counted a whole window. Below it, the reported
+  /// usage would be too low and could not be corrected later.
   double min_coverage = 0.5;
 };
 
-/// Sums up. Counts of one start of a node replace earlier ones of the same window, so that a lost
-/// or doubled message changes nothing; counts of incarnations that have ended stay.
+/// Sums up the counts of all nodes. Counts of one incarnation of a node replace its earlier ones of
+/// the same window, so that lost or duplicate messages do no harm; ended incarnations still count.
 class UsageLedger {
  public:
   explicit UsageLedger(const UsageLedgerSettings& own_settings) : settings(own_settings) {}
 
-  /// A node has told.
-  /// @param current the window that is open now. A node whose clock is wrong, and does not know it
-  /// yet, tells of windows that are still to come; these are not taken.
-  /// @return whether it was news.
+  /// Counts were received from a node.
+  /// @param current the window that is open now. Counts for later windows, from a node with a wrong
+  /// clock, are rejected.
+  /// @return whether the counts were new.
   bool on_counts(MonotonicTime now, WindowNumber current, const UsageCounts& report);
 
-  /// @return whether all nodes that are heard have counted the window to its end.
+  /// @return whether all live nodes have counted the window to its end.
   bool complete(MonotonicTime now, WindowNumber window) const;
 
-  /// @return whether enough nodes have counted through the whole window.
+  /// @return whether enough nodes have counted the whole window.
   bool covered(WindowNumber window) const;
 
-  /// @return what all nodes have told of the window.
+  /// @return the counts of all nodes in the window.
   TenantCounts sum(WindowNumber window) const;
 
-  /// @return nodes that are heard of now.
+  /// @return the number of nodes heard from within the timeout.
   std::size_t live_nodes(MonotonicTime now) const;
 
  private:
-  /// What one start of a node has told of one window. A telling counts once all its parts are here.
+  /// Counts of one incarnation in one window. They apply once all parts of a send have arrived.
   struct NodeCounts {
     std::uint64_t sequence = 0;
     std::set<std::uint32_t> parts;
@@ -71,7 +71,7 @@
     UnixMs counted_until = 0;
     TenantCounts counts;
   };
-  /// The newest start of a node.
+  /// The newest incarnation of a node.
   struct Incarnation {
     std::uint64_t boot = 0;
     MonotonicTime received_at{};
--- a/src/core/usage/usage_window.hpp
+++ b/src/core/usage/usage_window.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Windows of time by which usage is told, counted from the start of 1970 by true time.
+/// Time windows for usage reporting, numbered from the Unix epoch by true time.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 
 namespace shuntbank::usage {
 
-/// Window k begins k times the length of a window after the start of 1970.
+/// Window k starts k window lengths after the Unix epoch.
 using WindowNumber = std::uint64_t;
 
-/// Milliseconds since the start of 1970. Differences between clocks make it signed.
+/// Milliseconds since the Unix epoch. Signed, as it also holds clock differences.
 using UnixMs = std::int64_t;
 
-/// Requests that began to run, by tenant. Tenants without any are left out.
+/// Requests that started to run, by tenant. Tenants without any are omitted.
 using TenantCounts = std::map<TenantName, std::uint64_t>;
 
-/// Adds counts up.
+/// Adds `more` to `sum`.
 void add(TenantCounts& sum, const TenantCounts& more);
 
-/// @return the requests of all tenants.
+/// @return the sum over all tenants.
 std::uint64_t total(const TenantCounts& counts);
 
-/// Where windows begin and end.
+/// Maps true time to windows.
 struct WindowClock {
   UnixMs length_ms = 5000;
 
--- a/tests/core/admission/admission_test.cpp
+++ b/tests/core/admission/admission_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The process has run for long when the test begins.
+/// Start of a process that has long been running when the test begins.
 constexpr MonotonicTime kLongAgo = MonotonicTime{} - 1h;
 
 QueueItem item(std::uint64_t id, const std::string& tenant, double weight, double cost,
@@ -135,7 +135,7 @@
 }
 
 Test(tenant_limiter, allows_no_burst_after_a_process_start) {
-  // What an earlier life of the process admitted is forgotten; a full bucket would admit it again.
+  // Requests admitted before a restart are unknown; a full bucket would admit them again.
   const MonotonicTime start = MonotonicTime{} + 1h;
   TenantLimiter limiter(start);
   TenantLimits limits;
@@ -147,7 +147,7 @@
     return admitted;
   };
   cr_assert_eq(admitted_at(start), 1,
-               "a caller is not turned away by a node that has just started");
+               "a node that has just started does not refuse the first request");
   cr_assert_leq(admitted_at(start + 5s), 50);
   cr_assert_eq(admitted_at(start + 60s), 100);
 }
--- a/tests/core/capacity/capacity_planner_test.cpp
+++ b/tests/core/capacity/capacity_planner_test.cpp
@@ -22,7 +22,7 @@
   return scale;
 }
 
-/// Nothing is kept at full price.
+/// Settings without a minimum of full-price engines.
 CapacitySettings without_full_price_minimum(SpotStrategy strategy = SpotStrategy::kSpotSpare) {
   CapacitySettings settings;
   settings.strategy = strategy;
@@ -30,11 +30,11 @@
   return settings;
 }
 
-/// A provider that does what it is asked, as far as it has the engines.
+/// A provider that carries out plans, except for the kinds marked unavailable.
 struct Provider {
   explicit Provider(CapacitySettings settings = {}) : planner(settings) {}
 
-  /// Lets the planner see what is there and carries its plan out.
+  /// Advances time, plans for the present engines and carries out the plan.
   Purchases step(Duration elapsed = 1s) {
     now += elapsed;
     const Purchases plan = planner.plan(now, scale, needed, present);
@@ -76,7 +76,7 @@
 Test(capacity_planner, spot_engines_replace_full_price_ones_and_any_one_zone_may_be_lost) {
   Provider provider;
   provider.run_until_stable();
-  cr_assert_eq(provider.full(), 15, "half of what is needed stays");
+  cr_assert_eq(provider.full(), 15, "half of the needed engines stay at full price");
   for (const ZoneName& lost_zone : {kA, kB, kC}) {
     cr_assert_geq(provider.total() - provider.present[lost_zone].spot, provider.needed);
   }
@@ -84,10 +84,10 @@
 
 Test(capacity_planner, never_has_fewer_than_needed_during_the_changeover) {
   Provider provider;
-  provider.scale = scale_of(12);  // There is little room beside those at full price.
+  provider.scale = scale_of(12);  // Leaves little headroom beside the full-price engines.
   for (int i = 0; i < 20; ++i) {
     provider.step(200ms);
-    cr_assert_geq(provider.total(), provider.needed, "turn %d: %u", i, provider.total());
+    cr_assert_geq(provider.total(), provider.needed, "step %d: %u", i, provider.total());
     for (const auto& [zone, engines] : provider.present) {
       cr_assert_leq(engines.full + engines.spot, provider.scale.max);
     }
@@ -103,7 +103,7 @@
   provider.unavailable[{kB, true}] = true;
   provider.run_until_stable();
   cr_assert_geq(provider.total(), provider.needed);
-  cr_assert_gt(provider.present[kA].full, 0, "where they are cheapest");
+  cr_assert_gt(provider.present[kA].full, 0, "in the cheapest zone");
   cr_assert_eq(provider.present[kB].full, 0);
   provider.unavailable.clear();
   provider.run_until_stable();
@@ -119,7 +119,7 @@
   cr_assert_not(provider.planner.may_request(provider.now, {kA, false}));
   provider.step();
   cr_assert_eq(provider.total(), 30);
-  cr_assert_eq(provider.present[kC].full, 20, "the next in price");
+  cr_assert_eq(provider.present[kC].full, 20, "the next cheapest zone");
 }
 
 Test(capacity_planner, orders_no_spot_engines_above_the_price_limit) {
--- a/tests/core/configuration/config_replica_test.cpp
+++ b/tests/core/configuration/config_replica_test.cpp
@@ -27,7 +27,7 @@
         replica.offer_changes(base, document.changes_since(base));
       }
       RC_ASSERT(replica.revision() >= before);
-      // Whatever is held is exactly one of the accepted documents, never a mixture.
+      // The held document is always one of the offered ones, never a mixture.
       RC_ASSERT(replica.document() == history[replica.revision()]);
     }
   });
--- a/tests/core/lease/lease_holder_test.cpp
+++ b/tests/core/lease/lease_holder_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A store with compare-and-set, and two candidates whose calls may be lost, late or doubled.
+/// A store with compare-and-set, and the current time.
 struct LeaseStore {
   VersionedLease lease;
   std::uint64_t last_version = 0;
--- a/tests/core/membership/membership_test.cpp
+++ b/tests/core/membership/membership_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Nodes whose heartbeats arrive at once, unless a link is cut.
+/// Nodes whose heartbeats arrive at once, unless lost or cut off by a partition.
 struct Cluster {
   std::vector<Membership> nodes;
   std::set<std::size_t> dead;
@@ -38,9 +38,9 @@
     }
   }
 
-  int loss_interval = 0;  ///< One exchange in so many is lost.
+  int loss_interval = 0;  ///< Every n-th exchange is lost; 0: none.
   int exchanges = 0;
-  bool partitioned = false;  ///< The lower half does not reach the upper half.
+  bool partitioned = false;  ///< The halves cannot reach each other.
 
   void exchange(std::size_t from, std::size_t to) {
     if (loss_interval > 0 && ++exchanges % loss_interval == 0) return;
--- a/tests/core/usage/true_time_test.cpp
+++ b/tests/core/usage/true_time_test.cpp
@@ -11,7 +11,7 @@
 constexpr MonotonicTime kStart{std::chrono::seconds(500)};
 constexpr UnixMs kNoon = 1'796'000'000'000;
 
-/// A node's clock, looked at each second.
+/// A node's clock, updated once a second.
 struct Clock {
   void advance(int seconds) {
     for (int i = 0; i < seconds; ++i) {
@@ -62,7 +62,7 @@
 
 Test(true_time, the_median_is_right_while_a_third_of_the_clocks_are_wrong) {
   Clock clock;
-  // This node itself started while its time of day was an hour ahead.
+  // This node itself started with its time of day an hour ahead.
   TrueTime wrong_clock({}, kStart, kNoon + 3'600'000);
   for (int i = 0; i < 6; ++i) {
     const UnixMs error = i < 2 ? 3'600'000 : i;
@@ -71,7 +71,7 @@
   cr_assert(wrong_clock.apply_median(kStart).has_value());
   cr_assert_lt(std::abs(wrong_clock.corrected_time(kStart) - kNoon), 10);
   cr_assert_eq(wrong_clock.local_time(kStart), kNoon + 3'600'000,
-               "what is told to others stays uncorrected");
+               "the local time sent to others stays uncorrected");
 }
 
 Test(true_time, too_few_clocks_give_no_median) {
@@ -81,5 +81,5 @@
   cr_assert_eq(time.corrected_time(kStart), kNoon);
   time.on_peer_clock(kStart, NodeId("b"), kNoon + 50'000);
   cr_assert_eq(time.apply_median(kStart).value(), kNoon + 50'000);
-  cr_assert_not(time.apply_median(kStart + 6s).has_value(), "they were told long ago");
+  cr_assert_not(time.apply_median(kStart + 6s).has_value(), "the received clocks have timed out");
 }
--- a/tests/core/usage/usage_ledger_test.cpp
+++ b/tests/core/usage/usage_ledger_test.cpp
@@ -63,14 +63,14 @@
   next.counting_since = 503'500;
   ledger.on_counts(kNow, kWindow, next);
   cr_assert_eq(ledger.sum(kWindow).at(kGuild), 5);
-  cr_assert(ledger.covered(kWindow), "both starts together");
+  cr_assert(ledger.covered(kWindow), "both incarnations together");
 }
 
 Test(usage_ledger, a_window_that_most_nodes_counted_only_in_part_is_not_covered) {
   UsageLedger ledger({});
   for (const char* node : {"a", "b", "c"}) {
     UsageCounts usage = counts_from(node, 1, 506'000, 1);
-    usage.counting_since = 502'000;  // All were killed and have started again.
+    usage.counting_since = 502'000;  // All nodes restarted within the window.
     ledger.on_counts(kNow, kWindow, usage);
   }
   cr_assert_not(ledger.covered(kWindow));
@@ -115,7 +115,8 @@
     };
   };
   cr_assert_eq(counter.counts(window_clock, kWindow, at(0)).at(kGuild), 2);
-  cr_assert_eq(counter.counts(window_clock, kWindow, at(200)).at(kGuild), 1, "it was 200 ms later");
+  cr_assert_eq(counter.counts(window_clock, kWindow, at(200)).at(kGuild), 1,
+               "true time turned out 200 ms later");
   cr_assert_eq(counter.counts(window_clock, kWindow + 1, at(200)).at(kGuild), 1);
   counter.expire(kNow + 31s);
   cr_assert_eq(total(counter.counts(window_clock, kWindow, at(0))), 1);
