--- a/src/core/requests/claim_group.cpp
+++ b/src/core/requests/claim_group.cpp
@@ -6,18 +6,18 @@
 namespace shuntbank {
 namespace {
 
-bool is_majority(std::size_t count, std::size_t of) {
-  return count >= of / 2 + 1;
+bool is_majority(std::size_t count, std::size_t total) {
+  return count >= total / 2 + 1;
 }
 
-const MemberFact* find(const std::vector<MemberFact>& members, const NodeId& node) {
+const MemberFact* find_member(const std::vector<MemberFact>& members, const NodeId& node) {
   const auto found = std::find_if(members.begin(), members.end(),
                                   [&node](const MemberFact& fact) { return fact.node == node; });
   return found == members.end() ? nullptr : &*found;
 }
 
 /// Adds usable nodes until the group is full, those in zones without a replica first.
-void fill(std::vector<MemberFact>& group, const std::vector<MemberFact>& usable) {
+void fill_group(std::vector<MemberFact>& group, const std::vector<MemberFact>& usable) {
   std::vector<MemberFact> ranked = rank_for_duty("claims", usable, usable.size());
   while (group.size() < kClaimReplicas) {
     const auto in_new_zone = [&group](const MemberFact& candidate) {
@@ -26,7 +26,7 @@
       });
     };
     const auto unused = [&group](const MemberFact& candidate) {
-      return find(group, candidate.node) == nullptr;
+      return find_member(group, candidate.node) == nullptr;
     };
     auto pick = std::find_if(ranked.begin(), ranked.end(), [&](const MemberFact& candidate) {
       return unused(candidate) && in_new_zone(candidate);
@@ -41,15 +41,15 @@
 
 std::optional<ClaimGroupRecord> next_claim_group(const ClaimGroupRecord& record,
                                                  const std::vector<MemberFact>& usable,
-                                                 const std::set<NodeId>& vouching) {
+                                                 const std::set<NodeId>& serving_members) {
   std::vector<MemberFact> group;
   std::vector<ClaimMember> missing;
   for (const ClaimMember& member : record.members) {
-    const MemberFact* fact = find(usable, member.node);
+    const MemberFact* fact = find_member(usable, member.node);
     if (fact != nullptr) group.push_back(*fact);
     if (fact == nullptr) missing.push_back(member);
   }
-  fill(group, usable);
+  fill_group(group, usable);
   ClaimGroupRecord next;
   for (const MemberFact& fact : group) next.members.push_back({fact.node, fact.address, fact.boot});
   // A missing member stays when nobody can replace it: a group never shrinks, since a smaller group
@@ -58,17 +58,17 @@
     if (next.members.size() < record.members.size()) next.members.push_back(member);
   }
   if (next.members.empty()) return std::nullopt;
-  const auto same_nodes = [&] {
+  const auto same_members = [&] {
     if (next.members.size() != record.members.size()) return false;
     return std::all_of(next.members.begin(), next.members.end(), [&record](const auto& member) {
       return std::find(record.members.begin(), record.members.end(), member) !=
              record.members.end();
     });
   };
-  const bool all_vouch =
-      std::all_of(group.begin(), group.end(),
-                  [&vouching](const MemberFact& fact) { return vouching.contains(fact.node); });
-  if (same_nodes() && all_vouch) return std::nullopt;
+  const bool all_serve = std::all_of(
+      group.begin(), group.end(),
+      [&serving_members](const MemberFact& fact) { return serving_members.contains(fact.node); });
+  if (same_members() && all_serve) return std::nullopt;
   next.view = record.view + 1;
   // Nobody is granted anything under a view that never became stable, so the one before it still is
   // what has to be taken over.
@@ -80,7 +80,7 @@
 ClaimTakeover::ClaimTakeover(ClaimGroupRecord record, Duration retention)
     : record_(std::move(record)), retention_(retention) {}
 
-std::vector<ClaimMember> ClaimTakeover::to_seal() const {
+std::vector<ClaimMember> ClaimTakeover::members_to_seal() const {
   std::vector<ClaimMember> members;
   for (const ClaimMember& member : record_.previous_members) {
     if (!sealed_.contains(member.node)) members.push_back(member);
@@ -90,15 +90,15 @@
 
 void ClaimTakeover::on_sealed(const NodeId& node, const SealResult& result) {
   // A takeover before this one got as far as here: what it merged is complete.
-  const bool served_new = result.vouched_view > record_.previous_view;
-  complete_ = complete_ || served_new;
+  const bool served_new_view = result.served_view > record_.previous_view;
+  complete_ = complete_ || served_new_view;
   // Otherwise only a replica that served the view before knows what it granted there.
-  if (!served_new && result.vouched_view != record_.previous_view) {
-    forgetful_.insert(node);
+  if (!served_new_view && result.served_view != record_.previous_view) {
+    sealed_without_history_.insert(node);
     return;
   }
   if (!sealed_.insert(node).second) return;
-  quiet_for_ = std::max(quiet_for_, result.quiet_for);
+  grant_delay_ = std::max(grant_delay_, result.grant_delay);
   entries_.insert(entries_.end(), result.entries.begin(), result.entries.end());
 }
 
@@ -108,16 +108,16 @@
 }
 
 bool ClaimTakeover::history_lost() const {
-  return !sealed() &&
-         is_majority(sealed_.size() + forgetful_.size(), record_.previous_members.size());
+  return !sealed() && is_majority(sealed_.size() + sealed_without_history_.size(),
+                                  record_.previous_members.size());
 }
 
-void ClaimTakeover::accept_loss() {
+void ClaimTakeover::accept_history_loss() {
   complete_ = true;
-  quiet_for_ = retention_;
+  grant_delay_ = retention_;
 }
 
-std::vector<ClaimMember> ClaimTakeover::to_install() const {
+std::vector<ClaimMember> ClaimTakeover::members_to_install() const {
   std::vector<ClaimMember> members;
   if (!sealed()) return members;
   for (const ClaimMember& member : record_.members) {
--- a/src/core/requests/claim_group.hpp
+++ b/src/core/requests/claim_group.hpp
@@ -39,11 +39,11 @@
 
 /// Decides whether a group should change.
 /// @param usable members of the region that may hold duties.
-/// @param vouching members of the group that say that they serve its view.
+/// @param serving_members members of the group that say that they serve its view.
 /// @return the next record, not yet stable; nothing when the group is fine as it is.
 std::optional<ClaimGroupRecord> next_claim_group(const ClaimGroupRecord& record,
                                                  const std::vector<MemberFact>& usable,
-                                                 const std::set<NodeId>& vouching);
+                                                 const std::set<NodeId>& serving_members);
 
 /// Takes over the claims of the view before, step by step. The driver sends what it is told to and
 /// reports the answers.
@@ -55,7 +55,7 @@
   const ClaimGroupRecord& record() const { return record_; }
 
   /// @return members of the view before that are still to be sealed.
-  std::vector<ClaimMember> to_seal() const;
+  std::vector<ClaimMember> members_to_seal() const;
 
   /// A member of the view before was sealed.
   void on_sealed(const NodeId& node, const SealResult& result);
@@ -68,16 +68,16 @@
   bool history_lost() const;
 
   /// Goes on without the history: nothing is granted until every lost claim has run out.
-  void accept_loss();
+  void accept_history_loss();
 
   /// @return how long the new view grants nothing.
-  Duration quiet_for() const { return quiet_for_; }
+  Duration grant_delay() const { return grant_delay_; }
 
   /// @return the merged claims.
   const std::vector<ClaimEntry>& entries() const { return entries_; }
 
   /// @return members of the new view that are still to install it.
-  std::vector<ClaimMember> to_install() const;
+  std::vector<ClaimMember> members_to_install() const;
 
   /// A member of the new view serves it.
   void on_installed(const NodeId& node) { installed_.insert(node); }
@@ -89,9 +89,9 @@
   ClaimGroupRecord record_;
   bool complete_ = false;  ///< A member serves the new view already, so it knows every claim.
   Duration retention_;
-  Duration quiet_for_{0};
+  Duration grant_delay_{0};
   std::set<NodeId> sealed_;
-  std::set<NodeId> forgetful_;  ///< Sealed, but without knowledge of the view before.
+  std::set<NodeId> sealed_without_history_;  ///< Sealed, but without knowledge of the view before.
   std::set<NodeId> installed_;
   std::vector<ClaimEntry> entries_;
 };
--- a/src/core/requests/claim_replica.cpp
+++ b/src/core/requests/claim_replica.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Old claims are swept out at most so often.
-constexpr Duration kExpireEvery = std::chrono::seconds(10);
+constexpr Duration kExpireInterval = std::chrono::seconds(10);
 
 constexpr std::size_t kKeyDigits = 32;
 
@@ -32,7 +32,7 @@
   if (found != claims_.end() && now < found->second.granted_at + retention_) {
     return found->second.claimant == claimant ? ClaimVerdict::kGranted : ClaimVerdict::kHeld;
   }
-  if (now < grants_from_) return ClaimVerdict::kUnavailable;
+  if (now < grants_start_at_) return ClaimVerdict::kUnavailable;
   if (found == claims_.end() && claims_.size() >= max_claims_) return ClaimVerdict::kUnavailable;
   claims_[key] = {claimant, now};
   return ClaimVerdict::kGranted;
@@ -44,10 +44,10 @@
 }
 
 SealResult ClaimReplica::seal(MonotonicTime now, ClaimView view) {
-  sealed_ = std::max(sealed_, view);
+  sealed_view_ = std::max(sealed_view_, view);
   SealResult result;
-  result.vouched_view = vouched_;
-  result.quiet_for = std::max(Duration::zero(), grants_from_ - now);
+  result.served_view = served_view_;
+  result.grant_delay = std::max(Duration::zero(), grants_start_at_ - now);
   for (const auto& [key, claim] : claims_) {
     result.entries.push_back({key, claim.claimant, now - claim.granted_at});
   }
@@ -55,22 +55,22 @@
 }
 
 bool ClaimReplica::install(MonotonicTime now, ClaimView view, std::uint64_t boot,
-                           const std::vector<ClaimEntry>& entries, Duration quiet_for) {
+                           const std::vector<ClaimEntry>& entries, Duration grant_delay) {
   if (boot != boot_) return false;
   // A late install of an older view must not bring back what a newer view has sealed.
-  if (view < sealed_ || view < vouched_) return false;
+  if (view < sealed_view_ || view < served_view_) return false;
   for (const ClaimEntry& entry : entries) {
     claims_.try_emplace(entry.key, Claim{entry.claimant, now - entry.age});
   }
-  grants_from_ = std::max(grants_from_, now + quiet_for);
-  vouched_ = view;
-  sealed_ = view;
+  grants_start_at_ = std::max(grants_start_at_, now + grant_delay);
+  served_view_ = view;
+  sealed_view_ = view;
   return true;
 }
 
 void ClaimReplica::expire(MonotonicTime now) {
-  if (now < next_expiry_) return;
-  next_expiry_ = now + kExpireEvery;
+  if (now < next_expiry_at_) return;
+  next_expiry_at_ = now + kExpireInterval;
   std::erase_if(claims_,
                 [&](const auto& entry) { return now >= entry.second.granted_at + retention_; });
 }
--- a/src/core/requests/claim_replica.hpp
+++ b/src/core/requests/claim_replica.hpp
@@ -42,9 +42,9 @@
 
 /// What a replica hands over when it is sealed.
 struct SealResult {
-  ClaimView vouched_view = 0;  ///< View that it knows all its grants of; zero: it knows nothing.
+  ClaimView served_view = 0;  ///< View that it knows all its grants of; zero: it knows nothing.
   std::vector<ClaimEntry> entries;
-  Duration quiet_for{0};  ///< It grants nothing for so long yet.
+  Duration grant_delay{0};  ///< It grants nothing for so long yet.
 };
 
 /// One replica of the claims. Memory only: after a restart it vouches for nothing.
@@ -68,13 +68,13 @@
   /// Begins to serve `view` with the merged claims of a majority of the view before.
   /// @param boot of the process that the view names. A restarted one refuses: the process before
   /// may have granted claims under this view that it does not know.
-  /// @param quiet_for grant nothing for so long: claims were lost, and must run out first.
+  /// @param grant_delay grant nothing for so long: claims were lost, and must run out first.
   /// @return whether it now serves that view.
   bool install(MonotonicTime now, ClaimView view, std::uint64_t boot,
-               const std::vector<ClaimEntry>& entries, Duration quiet_for = Duration::zero());
+               const std::vector<ClaimEntry>& entries, Duration grant_delay = Duration::zero());
 
   /// @return the view that it grants under; zero: none.
-  ClaimView active_view() const { return sealed_ > vouched_ ? 0 : vouched_; }
+  ClaimView active_view() const { return sealed_view_ > served_view_ ? 0 : served_view_; }
 
   std::size_t size() const { return claims_.size(); }
 
@@ -89,11 +89,11 @@
   std::uint64_t boot_;
   Duration retention_;
   std::size_t max_claims_;
-  ClaimView vouched_ = 0;  ///< It has every grant of this view that it made itself.
-  ClaimView sealed_ = 0;   ///< It grants nothing below this view.
+  ClaimView served_view_ = 0;  ///< It has every grant of this view that it made itself.
+  ClaimView sealed_view_ = 0;  ///< It grants nothing below this view.
   std::unordered_map<ClaimKey, Claim> claims_;
-  MonotonicTime next_expiry_{};
-  MonotonicTime grants_from_{};
+  MonotonicTime next_expiry_at_{};
+  MonotonicTime grants_start_at_{};
 };
 
 /// Counts the answers to one claim.
--- a/src/core/requests/request_progress.cpp
+++ b/src/core/requests/request_progress.cpp
@@ -27,12 +27,12 @@
   return ChunkVerdict::kDeliver;
 }
 
-FailureDecision RequestProgress::attempt_failed(AttemptFailure failure, bool may_retry) {
+FailureDecision RequestProgress::on_attempt_failed(AttemptFailure failure, bool may_retry) {
   in_flight_ = false;
   if (failure == AttemptFailure::kUncertain) may_have_run_ = true;
   const bool safe_to_repeat = repeatable_ || !may_have_run_;
-  if (safe_to_repeat && may_retry && attempts_ < max_attempts_) return TryElsewhere{delivered_};
-  return GiveUp{outcome_if_abandoned()};
+  if (safe_to_repeat && may_retry && attempts_ < max_attempts_) return Redispatch{delivered_};
+  return AbortRequest{outcome_if_abandoned()};
 }
 
 RequestOutcome RequestProgress::outcome_if_abandoned() const {
--- a/src/core/requests/request_progress.hpp
+++ b/src/core/requests/request_progress.hpp
@@ -36,16 +36,16 @@
 };
 
 /// Dispatch again to another engine, from token `resume_from`.
-struct TryElsewhere {
+struct Redispatch {
   std::uint32_t resume_from = 0;
 };
 
 /// Answer the caller now.
-struct GiveUp {
+struct AbortRequest {
   RequestOutcome outcome = RequestOutcome::kUnknown;
 };
 
-using FailureDecision = std::variant<TryElsewhere, GiveUp>;
+using FailureDecision = std::variant<Redispatch, AbortRequest>;
 
 /// State of one request. Safety rests on two rules. A request that is not repeatable is dispatched
 /// again only if no attempt before can have run it. `kNotRun` is said only if that holds for every
@@ -60,14 +60,14 @@
   AttemptId begin_attempt();
 
   /// A part of the request ran, such as its prefill, though nothing was delivered yet.
-  void part_ran() { may_have_run_ = true; }
+  void on_partial_run() { may_have_run_ = true; }
 
   /// Judges a chunk by its attempt and the index of its first token; counts it when delivered.
   ChunkVerdict accept_chunk(const AttemptId& attempt, std::uint32_t index);
 
   /// Records a failure of the current attempt.
   /// @param may_retry false when the retry budget or the deadline forbids another dispatch.
-  FailureDecision attempt_failed(AttemptFailure failure, bool may_retry);
+  FailureDecision on_attempt_failed(AttemptFailure failure, bool may_retry);
 
   /// @return what a caller may be told if the request is given up now, with an attempt in flight or
   /// not.
--- a/src/core/roles/engine_controller.cpp
+++ b/src/core/roles/engine_controller.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// One engine in this many may be out for a change at once, and always one.
-constexpr std::size_t kEnginesForEachChange = 4;
+constexpr std::size_t kEnginesPerChange = 4;
 
-Availability availability_of(ControlPhase phase, bool answers) {
-  if (!answers) return Availability::kDown;
+Availability availability_of(ControlPhase phase, bool responsive) {
+  if (!responsive) return Availability::kDown;
   switch (phase) {
     case ControlPhase::kDraining:
       return Availability::kDraining;
@@ -25,9 +25,9 @@
 }
 
 /// @return whether the engine is in force what `desired` says.
-bool in_force(const EngineState& state, const DesiredState& desired) {
-  return !state.changing && state.role == desired.role && state.models == desired.models &&
-         state.desired == desired;
+bool is_applied(const EngineState& state, const DesiredState& desired) {
+  return !state.change_in_progress && state.role == desired.role &&
+         state.models == desired.models && state.desired == desired;
 }
 
 }  // namespace
@@ -59,21 +59,21 @@
   for (const EngineId& engine : engines) engines_.try_emplace(engine);
 }
 
-void EngineController::want_role(const EngineId& engine, EngineRole role) {
+void EngineController::set_wanted_role(const EngineId& engine, EngineRole role) {
   const auto found = engines_.find(engine);
   if (found == engines_.end()) return;
   found->second.wanted_role = role;
-  found->second.role_is_wanted = true;
+  found->second.has_wanted_role = true;
 }
 
 std::vector<ControlCommand> EngineController::poll(MonotonicTime now) {
   std::vector<ControlCommand> commands;
   if (superseded_) return commands;
   for (auto& [engine, control] : engines_) {
-    if (control.busy || now < control.next_at) continue;
+    if (control.command_pending || now < control.next_command_at) continue;
     auto command = next_command(now, engine, control);
     if (!command) continue;
-    control.busy = true;
+    control.command_pending = true;
     commands.push_back(std::move(*command));
   }
   return commands;
@@ -93,65 +93,67 @@
 std::optional<ControlCommand> EngineController::act_on_state(MonotonicTime now,
                                                              const EngineId& engine,
                                                              Control& control) {
-  if (control.unconfirmed && control.state->stamp < control.unconfirmed->stamp) {
-    return SendOrder{engine, *control.unconfirmed};
+  if (control.unconfirmed_order && control.state->stamp < control.unconfirmed_order->stamp) {
+    return SendOrder{engine, *control.unconfirmed_order};
   }
   if (control.phase == ControlPhase::kDraining) return drain(now, engine, control);
-  const DesiredState wanted = target(control);
-  const bool ordered = control.unconfirmed && control.unconfirmed->desired == wanted;
-  if (in_force(*control.state, wanted) || ordered) return std::nullopt;
-  if (control.phase == ControlPhase::kChanging && control.state->changing) return std::nullopt;
+  const DesiredState wanted = target_state(control);
+  const bool ordered = control.unconfirmed_order && control.unconfirmed_order->desired == wanted;
+  if (is_applied(*control.state, wanted) || ordered) return std::nullopt;
+  if (control.phase == ControlPhase::kChanging && control.state->change_in_progress)
+    return std::nullopt;
   // An engine without models serves nothing, so there is nothing to drain.
   if (control.state->models.empty()) {
     control.phase = ControlPhase::kChanging;
     return order(engine, control, wanted);
   }
-  const bool only_admission = control.state->role == wanted.role &&
-                              control.state->models == wanted.models && !control.state->changing;
-  if (only_admission) return order(engine, control, wanted);
-  if (now < control.put_off_until || !may_start_change()) return std::nullopt;
+  const bool only_accepting_differs = control.state->role == wanted.role &&
+                                      control.state->models == wanted.models &&
+                                      !control.state->change_in_progress;
+  if (only_accepting_differs) return order(engine, control, wanted);
+  if (now < control.drain_retry_at || !may_start_change()) return std::nullopt;
   control.phase = ControlPhase::kDraining;
-  control.drain_since = now;
-  DesiredState closed{control.state->role, control.state->models, false};
-  return order(engine, control, std::move(closed));
+  control.drain_started_at = now;
+  DesiredState refusing{control.state->role, control.state->models, false};
+  return order(engine, control, std::move(refusing));
 }
 
 std::optional<ControlCommand> EngineController::drain(MonotonicTime now, const EngineId& engine,
                                                       Control& control) {
-  const bool closed = !control.state->desired.accepting;
-  const DesiredState wanted = target(control);
+  const bool refusing = !control.state->desired.accepting;
+  const DesiredState wanted = target_state(control);
   // No new request can start once the engine holds the closing order, so zero active is final.
-  if (closed && control.state->active == 0) {
+  if (refusing && control.state->active == 0) {
     control.phase = ControlPhase::kChanging;
     return order(engine, control, wanted);
   }
-  if (now < control.drain_since + drain_bound_) return std::nullopt;
-  ++put_off_;
+  if (now < control.drain_started_at + drain_bound_) return std::nullopt;
+  ++drain_timeouts_;
   control.phase = ControlPhase::kSteady;
-  control.put_off_until = now + settings_.put_off_for;
+  control.drain_retry_at = now + settings_.drain_retry_delay;
   DesiredState reopened{control.state->role, control.state->models, true};
   return order(engine, control, std::move(reopened));
 }
 
 ControlCommand EngineController::order(const EngineId& engine, Control& control,
                                        DesiredState desired) {
-  control.unconfirmed = EngineOrder{{fence_, ++counters_.order}, std::move(desired)};
+  control.unconfirmed_order = EngineOrder{{fence_, ++counters_.order}, std::move(desired)};
   update_fact(engine, control);
-  return SendOrder{engine, *control.unconfirmed};
+  return SendOrder{engine, *control.unconfirmed_order};
 }
 
-DesiredState EngineController::target(const Control& control) const {
-  const EngineRole role = control.role_is_wanted ? control.wanted_role : control.state->role;
+DesiredState EngineController::target_state(const Control& control) const {
+  const EngineRole role = control.has_wanted_role ? control.wanted_role : control.state->role;
   return {role, models_, true};
 }
 
 bool EngineController::may_start_change() const {
-  const auto out = std::count_if(engines_.begin(), engines_.end(), [](const auto& entry) {
+  const auto changing = std::count_if(engines_.begin(), engines_.end(), [](const auto& entry) {
     return entry.second.phase == ControlPhase::kDraining ||
            entry.second.phase == ControlPhase::kChanging;
   });
-  const std::size_t cap = std::max<std::size_t>(1, engines_.size() / kEnginesForEachChange);
-  return static_cast<std::size_t>(out) < cap;
+  const std::size_t max_changing = std::max<std::size_t>(1, engines_.size() / kEnginesPerChange);
+  return static_cast<std::size_t>(changing) < max_changing;
 }
 
 void EngineController::on_state(MonotonicTime now, const EngineId& engine,
@@ -159,8 +161,8 @@
   const auto found = engines_.find(engine);
   if (found == engines_.end()) return;
   Control& control = found->second;
-  control.busy = false;
-  control.unanswered = 0;
+  control.command_pending = false;
+  control.unanswered_commands = 0;
   if (state.stamp.fence > fence_) {
     superseded_ = true;
     return;
@@ -168,43 +170,45 @@
   if (state.stamp.fence < fence_) {
     // The engine restarted and forgot the claim: nothing ordered so far counts.
     control.phase = ControlPhase::kUnclaimed;
-    control.unconfirmed.reset();
+    control.unconfirmed_order.reset();
     control.state.reset();
-    control.next_at = now;
+    control.next_command_at = now;
     return;
   }
   control.state = state;
   counters_.order = std::max(counters_.order, state.stamp.sequence);
   if (control.phase == ControlPhase::kUnclaimed) {
-    control.phase = state.changing ? ControlPhase::kChanging : ControlPhase::kSteady;
-    // A holder before closed it for a drain; the drain goes on or is undone from its state.
+    control.phase = state.change_in_progress ? ControlPhase::kChanging : ControlPhase::kSteady;
+    // A holder before refusing it for a drain; the drain goes on or is undone from its state.
     if (!state.desired.accepting) control.phase = ControlPhase::kDraining;
-    control.drain_since = now;
+    control.drain_started_at = now;
   }
-  const bool confirmed = control.unconfirmed && state.stamp >= control.unconfirmed->stamp;
+  const bool confirmed =
+      control.unconfirmed_order && state.stamp >= control.unconfirmed_order->stamp;
   if (confirmed && control.phase == ControlPhase::kChanging &&
-      in_force(state, control.unconfirmed->desired)) {
+      is_applied(state, control.unconfirmed_order->desired)) {
     control.phase = ControlPhase::kSteady;
   }
-  if (!control.unconfirmed && control.phase == ControlPhase::kChanging && !state.changing) {
+  if (!control.unconfirmed_order && control.phase == ControlPhase::kChanging &&
+      !state.change_in_progress) {
     control.phase = ControlPhase::kSteady;
   }
-  if (confirmed && !state.changing) control.unconfirmed.reset();
-  if (!state.changing) {
-    if (control.settled_role && *control.settled_role != state.role) ++role_changes_;
-    control.settled_role = state.role;
+  if (confirmed && !state.change_in_progress) control.unconfirmed_order.reset();
+  if (!state.change_in_progress) {
+    if (control.last_stable_role && *control.last_stable_role != state.role) ++role_changes_;
+    control.last_stable_role = state.role;
   }
-  const bool moving = control.phase != ControlPhase::kSteady || control.unconfirmed;
-  const bool must_act = !moving && !in_force(state, target(control));
-  control.next_at =
-      now + (moving || must_act ? settings_.read_while_changing : settings_.read_every);
+  const bool change_pending = control.phase != ControlPhase::kSteady || control.unconfirmed_order;
+  const bool change_needed = !change_pending && !is_applied(state, target_state(control));
+  control.next_command_at = now + (change_pending || change_needed ? settings_.change_read_interval
+                                                                   : settings_.read_interval);
   update_fact(engine, control);
 }
 
-void EngineController::on_stale(const EngineId& engine) {
+void EngineController::on_stale_fence(const EngineId& engine) {
   const auto found = engines_.find(engine);
   if (found == engines_.end()) return;
-  found->second.busy = false;
+  found->second.command_pending = false;
   found->second.state.reset();
 }
 
@@ -212,10 +216,10 @@
   const auto found = engines_.find(engine);
   if (found == engines_.end()) return;
   Control& control = found->second;
-  control.busy = false;
-  control.next_at = now + settings_.retry_after;
+  control.command_pending = false;
+  control.next_command_at = now + settings_.retry_delay;
   control.state.reset();
-  ++control.unanswered;
+  ++control.unanswered_commands;
   update_fact(engine, control);
 }
 
@@ -223,15 +227,15 @@
   EngineFact fact;
   fact.engine = engine;
   fact.role = control.state ? control.state->role : control.fact ? control.fact->role : fact.role;
-  const bool answers = control.unanswered < settings_.down_after;
-  fact.availability = availability_of(control.phase, answers);
+  const bool responsive = control.unanswered_commands < settings_.down_threshold;
+  fact.availability = availability_of(control.phase, responsive);
   const bool unloaded = control.state && control.state->models.empty() && !models_.empty();
-  if (answers && unloaded) fact.availability = Availability::kChanging;
-  const bool same = control.fact && control.fact->role == fact.role &&
-                    control.fact->availability == fact.availability;
-  if (same) return;
+  if (responsive && unloaded) fact.availability = Availability::kChanging;
+  const bool unchanged = control.fact && control.fact->role == fact.role &&
+                         control.fact->availability == fact.availability;
+  if (unchanged) return;
   fact.stamp = {fence_, 0};
-  fact.change = ++counters_.fact;
+  fact.version = ++counters_.fact;
   control.fact = fact;
 }
 
@@ -243,17 +247,17 @@
   return facts;
 }
 
-std::vector<EngineController::Line> EngineController::lines() const {
-  std::vector<Line> lines;
+std::vector<EngineController::EngineStatus> EngineController::statuses() const {
+  std::vector<EngineStatus> statuses;
   for (const auto& [engine, control] : engines_) {
     const EngineRole role = control.state  ? control.state->role
                             : control.fact ? control.fact->role
                                            : EngineRole::kMixed;
-    lines.push_back({engine, control.phase, control.state,
-                     control.role_is_wanted ? control.wanted_role : role,
-                     control.unanswered < settings_.down_after});
+    statuses.push_back({engine, control.phase, control.state,
+                        control.has_wanted_role ? control.wanted_role : role,
+                        control.unanswered_commands < settings_.down_threshold});
   }
-  return lines;
+  return statuses;
 }
 
 }  // namespace shuntbank
--- a/src/core/roles/engine_controller.hpp
+++ b/src/core/roles/engine_controller.hpp
@@ -24,7 +24,7 @@
   OrderStamp stamp;                      ///< Newest claim or order that it holds.
   DesiredState desired;                  ///< As of that order.
   EngineRole role = EngineRole::kMixed;  ///< In force now.
-  bool changing = false;                 ///< A change of role or models is under way.
+  bool change_in_progress = false;       ///< A change of role or models is under way.
   std::vector<ModelSpec> models;         ///< Loaded now.
   std::uint32_t active = 0;              ///< Requests in flight, from all callers.
 };
@@ -50,11 +50,11 @@
 
 /// Tunables of the control of engines.
 struct ControllerSettings {
-  Duration read_every = std::chrono::seconds(2);  ///< Of an engine at rest.
-  Duration read_while_changing = std::chrono::milliseconds(250);
-  Duration retry_after = std::chrono::seconds(1);   ///< After a command without an answer.
-  Duration put_off_for = std::chrono::seconds(20);  ///< After a drain that took too long.
-  std::uint32_t down_after = 3;                     ///< Commands without an answer in a row.
+  Duration read_interval = std::chrono::seconds(2);  ///< Of an engine at rest.
+  Duration change_read_interval = std::chrono::milliseconds(250);
+  Duration retry_delay = std::chrono::seconds(1);         ///< After a command without an answer.
+  Duration drain_retry_delay = std::chrono::seconds(20);  ///< After a drain that took too long.
+  std::uint32_t down_threshold = 3;                       ///< Commands without an answer in a row.
 };
 
 /// Where one engine stands.
@@ -87,7 +87,7 @@
                  Duration drain_bound);
 
   /// Sets the role that an engine should have, from the planner.
-  void want_role(const EngineId& engine, EngineRole role);
+  void set_wanted_role(const EngineId& engine, EngineRole role);
 
   /// @return commands to carry out now. At most one is outstanding for each engine.
   std::vector<ControlCommand> poll(MonotonicTime now);
@@ -96,7 +96,7 @@
   void on_state(MonotonicTime now, const EngineId& engine, const EngineState& state);
 
   /// The engine refused a claim or an order as stale: another holder has a higher fence.
-  void on_stale(const EngineId& engine);
+  void on_stale_fence(const EngineId& engine);
 
   /// A command got no answer.
   void on_no_answer(MonotonicTime now, const EngineId& engine);
@@ -116,31 +116,32 @@
   std::uint64_t role_changes() const { return role_changes_; }
 
   /// @return drains that were given up because they took too long.
-  std::uint64_t put_off() const { return put_off_; }
+  std::uint64_t drain_timeouts() const { return drain_timeouts_; }
 
   /// One engine's line in `status`.
-  struct Line {
+  struct EngineStatus {
     EngineId engine;
     ControlPhase phase;
     std::optional<EngineState> state;
-    EngineRole wanted;
-    bool answers;
+    EngineRole wanted_role;
+    bool responsive;
   };
-  std::vector<Line> lines() const;
+  std::vector<EngineStatus> statuses() const;
 
  private:
   struct Control {
     ControlPhase phase = ControlPhase::kUnclaimed;
     std::optional<EngineState> state;
-    std::optional<EngineRole> settled_role;  ///< In force when the engine was last at rest.
+    std::optional<EngineRole> last_stable_role;  ///< In force when the engine was last at rest.
     EngineRole wanted_role = EngineRole::kMixed;
-    bool role_is_wanted = false;  ///< The planner has spoken; else the engine keeps its role.
-    std::optional<EngineOrder> unconfirmed;  ///< Sent again as it is until the engine shows it.
-    bool busy = false;
-    MonotonicTime next_at{};
-    MonotonicTime drain_since{};
-    MonotonicTime put_off_until{};
-    std::uint32_t unanswered = 0;
+    bool has_wanted_role = false;  ///< The planner has spoken; else the engine keeps its role.
+    std::optional<EngineOrder>
+        unconfirmed_order;  ///< Sent again as it is until the engine shows it.
+    bool command_pending = false;
+    MonotonicTime next_command_at{};
+    MonotonicTime drain_started_at{};
+    MonotonicTime drain_retry_at{};
+    std::uint32_t unanswered_commands = 0;
 
     std::optional<EngineFact> fact;
   };
@@ -151,7 +152,7 @@
                                              Control& control);
   std::optional<ControlCommand> drain(MonotonicTime now, const EngineId& engine, Control& control);
   ControlCommand order(const EngineId& engine, Control& control, DesiredState desired);
-  DesiredState target(const Control& control) const;
+  DesiredState target_state(const Control& control) const;
   bool may_start_change() const;
   void update_fact(const EngineId& engine, Control& control);
 
@@ -163,7 +164,7 @@
   ControlCounters counters_;
   bool superseded_ = false;
   std::uint64_t role_changes_ = 0;
-  std::uint64_t put_off_ = 0;
+  std::uint64_t drain_timeouts_ = 0;
 };
 
 }  // namespace shuntbank
--- a/src/core/roles/role_assignment.hpp
+++ b/src/core/roles/role_assignment.hpp
@@ -24,8 +24,9 @@
 };
 
 /// Compares the plan with what engines are and chooses those with the least work to change.
-/// @param lines the engines as their controller knows them; those that do not answer are left out.
+/// @param statuses the engines as their controller knows them; those that do not answer are left
+/// out.
 RoleAssignment assign_roles(const RolePlanner& planner,
-                            const std::vector<EngineController::Line>& lines);
+                            const std::vector<EngineController::EngineStatus>& statuses);
 
 }  // namespace shuntbank
--- a/src/core/roles/role_planner.cpp
+++ b/src/core/roles/role_planner.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Load above this share of an engine's speed makes waits long; a plan counts it as full.
-constexpr double kUsableShare = 0.85;
+constexpr double kMaxUtilization = 0.85;
 
 /// The trend is followed only in part, since it is noisier than the level.
 constexpr double kTrendGain = 0.5;
@@ -21,16 +21,16 @@
 RolePlanner::RolePlanner(const PlannerSettings& settings) : settings_(settings) {}
 
 void RolePlanner::observe(MonotonicTime now, const DemandSample& sample) {
-  if (!started_) {
-    started_ = true;
+  if (!has_sample_) {
+    has_sample_ = true;
     level_ = sample;
-    last_ = now;
+    last_sample_at_ = now;
     return;
   }
-  const double elapsed = to_seconds(now - last_);
+  const double elapsed = to_seconds(now - last_sample_at_);
   if (elapsed <= 0) return;
-  last_ = now;
-  const double weight = 1 - std::exp(-elapsed / to_seconds(settings_.trend_time));
+  last_sample_at_ = now;
+  const double weight = 1 - std::exp(-elapsed / to_seconds(settings_.smoothing_time));
   const DemandSample before = level_;
   level_.prefill_tokens_per_second =
       smooth(level_.prefill_tokens_per_second, sample.prefill_tokens_per_second, weight);
@@ -48,9 +48,9 @@
 }
 
 DemandSample RolePlanner::forecast() const {
-  const double ahead = kTrendGain * to_seconds(settings_.change_time);
-  const auto at = [ahead](double level, double trend) {
-    return std::max(0.0, level + ahead * trend);
+  const double lookahead = kTrendGain * to_seconds(settings_.change_duration);
+  const auto at = [lookahead](double level, double trend) {
+    return std::max(0.0, level + lookahead * trend);
   };
   return {at(level_.prefill_tokens_per_second, trend_.prefill_tokens_per_second),
           at(level_.decode_tokens_per_second, trend_.decode_tokens_per_second)};
@@ -59,7 +59,7 @@
 double RolePlanner::served_share(std::uint32_t prefill, std::uint32_t decode,
                                  const DemandSample& demand) const {
   const auto share = [](double capacity, double wanted) {
-    return wanted <= 0 ? 1.0 : std::min(1.0, kUsableShare * capacity / wanted);
+    return wanted <= 0 ? 1.0 : std::min(1.0, kMaxUtilization * capacity / wanted);
   };
   const double prefill_share =
       share(prefill * settings_.prefill_tokens_per_second, demand.prefill_tokens_per_second);
@@ -68,26 +68,27 @@
   return std::min(prefill_share, decode_share);
 }
 
-RolePlan RolePlanner::plan(std::uint32_t engines, std::uint32_t prefill_now) const {
-  RolePlan best{prefill_now, engines - std::min(engines, prefill_now), 0, 0, "stay"};
-  if (engines < 2 || !started_) return best;
+RolePlan RolePlanner::plan(std::uint32_t engines, std::uint32_t current_prefill) const {
+  RolePlan best{current_prefill, engines - std::min(engines, current_prefill), 0, 0, "stay"};
+  if (engines < 2 || !has_sample_) return best;
   const DemandSample demand = forecast();
   const double horizon = to_seconds(settings_.horizon);
-  const double served_now = served_share(best.prefill_engines, best.decode_engines, demand);
+  const double current_share = served_share(best.prefill_engines, best.decode_engines, demand);
   double best_net = 0;
   for (std::uint32_t prefill = 1; prefill < engines; ++prefill) {
     const std::uint32_t decode = engines - prefill;
     const std::uint32_t changes =
-        prefill > prefill_now ? prefill - prefill_now : prefill_now - prefill;
+        prefill > current_prefill ? prefill - current_prefill : current_prefill - prefill;
     if (changes == 0) continue;
     // Gains and costs are in engine-seconds of goodput: a share times the whole fleet times
     // seconds.
-    const double gain = (served_share(prefill, decode, demand) - served_now) * engines * horizon;
-    const double cost = changes * (to_seconds(settings_.change_time) + settings_.role_change_cost);
+    const double gain = (served_share(prefill, decode, demand) - current_share) * engines * horizon;
+    const double cost =
+        changes * (to_seconds(settings_.change_duration) + settings_.role_change_cost);
     if (gain - cost <= best_net) continue;
     best_net = gain - cost;
     best = {prefill, decode, gain, cost,
-            prefill > prefill_now ? "prefill is short" : "decode is short"};
+            prefill > current_prefill ? "prefill is short" : "decode is short"};
   }
   return best;
 }
--- a/src/core/roles/role_planner.hpp
+++ b/src/core/roles/role_planner.hpp
@@ -17,11 +17,11 @@
 
 /// Speeds of one engine and the price of a change.
 struct PlannerSettings {
-  double prefill_tokens_per_second = 8000;         ///< Of an engine in the prefill role.
-  double decode_tokens_per_second = 1600;          ///< Of an engine in the decode role.
-  Duration change_time = std::chrono::seconds(4);  ///< An engine is away for so long.
-  Duration trend_time = std::chrono::seconds(5);   ///< Smoothing of demand.
-  Duration horizon = std::chrono::seconds(20);     ///< A change has to pay within this time.
+  double prefill_tokens_per_second = 8000;             ///< Of an engine in the prefill role.
+  double decode_tokens_per_second = 1600;              ///< Of an engine in the decode role.
+  Duration change_duration = std::chrono::seconds(4);  ///< An engine is away for so long.
+  Duration smoothing_time = std::chrono::seconds(5);   ///< Smoothing of demand.
+  Duration horizon = std::chrono::seconds(20);         ///< A change has to pay within this time.
   double role_change_cost = 1.0;  ///< Goodput-seconds that a change has to earn besides.
 };
 
@@ -43,9 +43,9 @@
   void observe(MonotonicTime now, const DemandSample& sample);
 
   /// @param engines engines that answer; at least two for a split.
-  /// @param prefill_now engines in the prefill role now.
+  /// @param current_prefill engines in the prefill role now.
   /// @return the split to aim for; the present one when a change does not pay.
-  RolePlan plan(std::uint32_t engines, std::uint32_t prefill_now) const;
+  RolePlan plan(std::uint32_t engines, std::uint32_t current_prefill) const;
 
   /// @return the demand expected after the time that a change takes.
   DemandSample forecast() const;
@@ -56,8 +56,8 @@
 
  private:
   PlannerSettings settings_;
-  bool started_ = false;
-  MonotonicTime last_{};
+  bool has_sample_ = false;
+  MonotonicTime last_sample_at_{};
   DemandSample level_;
   DemandSample trend_;  ///< Change of the level a second.
 };
--- a/src/core/routing/engine_facts.cpp
+++ b/src/core/routing/engine_facts.cpp
@@ -11,38 +11,38 @@
 constexpr int kSendsPerDoubling = 3;
 
 std::uint64_t digest_of(const EngineFact& fact) {
-  const std::uint64_t place = hash64(std::to_string(fact.stamp.fence), fact.change);
-  return hash64(fact.engine.value(), place);
+  const std::uint64_t order_hash = hash64(std::to_string(fact.stamp.fence), fact.version);
+  return hash64(fact.engine.value(), order_hash);
 }
 
 }  // namespace
 
-std::vector<EngineFact> EngineFacts::learn(const std::vector<EngineFact>& facts,
+std::vector<EngineFact> EngineFacts::merge(const std::vector<EngineFact>& facts,
                                            std::size_t members) {
   const int sends =
       kSendsPerDoubling * static_cast<int>(std::ceil(std::log2(static_cast<double>(members + 1))));
-  std::vector<EngineFact> learned;
+  std::vector<EngineFact> changed;
   for (const EngineFact& fact : facts) {
     const auto [entry, added] = facts_.try_emplace(fact.engine, Entry{fact, sends});
     if (!added && !is_newer(fact, entry->second.fact)) continue;
     if (!added) digest_ ^= digest_of(entry->second.fact);
     digest_ ^= digest_of(fact);
     entry->second = {fact, sends};
-    learned.push_back(fact);
+    changed.push_back(fact);
   }
-  return learned;
+  return changed;
 }
 
-std::vector<EngineFact> EngineFacts::facts_to_send(std::size_t most) {
-  std::vector<Entry*> waiting;
+std::vector<EngineFact> EngineFacts::facts_to_send(std::size_t max_count) {
+  std::vector<Entry*> pending;
   for (auto& [engine, entry] : facts_) {
-    if (entry.sends_left > 0) waiting.push_back(&entry);
+    if (entry.sends_left > 0) pending.push_back(&entry);
   }
-  std::sort(waiting.begin(), waiting.end(),
+  std::sort(pending.begin(), pending.end(),
             [](const Entry* a, const Entry* b) { return a->sends_left > b->sends_left; });
   std::vector<EngineFact> facts;
-  for (Entry* entry : waiting) {
-    if (facts.size() >= most) break;
+  for (Entry* entry : pending) {
+    if (facts.size() >= max_count) break;
     --entry->sends_left;
     facts.push_back(entry->fact);
   }
--- a/src/core/routing/engine_facts.hpp
+++ b/src/core/routing/engine_facts.hpp
@@ -17,10 +17,10 @@
   /// Takes over facts that are newer.
   /// @param members size of the cluster, which decides how often each fact is sent on.
   /// @return the facts that were new.
-  std::vector<EngineFact> learn(const std::vector<EngineFact>& facts, std::size_t members);
+  std::vector<EngineFact> merge(const std::vector<EngineFact>& facts, std::size_t members);
 
   /// @return facts to carry on the next message, those sent least first; counts them as sent.
-  std::vector<EngineFact> facts_to_send(std::size_t most);
+  std::vector<EngineFact> facts_to_send(std::size_t max_count);
 
   /// @return all facts.
   std::vector<EngineFact> all() const;
--- a/src/core/routing/engine_table.cpp
+++ b/src/core/routing/engine_table.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::array<const char*, 4> kAvailabilityNames{"serving", "draining", "changing", "down"};
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(200);
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(200);
 constexpr std::uint32_t kMaxBackoffDoublings = 5;
 
 }  // namespace
@@ -26,16 +26,17 @@
 }
 
 bool is_newer(const EngineFact& candidate, const EngineFact& known) {
-  return std::tie(candidate.stamp, candidate.change) > std::tie(known.stamp, known.change);
+  return std::tie(candidate.stamp, candidate.version) > std::tie(known.stamp, known.version);
 }
 
 void EngineTable::upsert(const EngineId& engine, const ZoneName& zone) {
   entries_[engine].zone = zone;
 }
 
-void EngineTable::retain(const std::vector<EngineId>& kept) {
-  const std::unordered_set<EngineId> wanted(kept.begin(), kept.end());
-  std::erase_if(entries_, [&wanted](const auto& entry) { return !wanted.contains(entry.first); });
+void EngineTable::retain(const std::vector<EngineId>& engines) {
+  const std::unordered_set<EngineId> retained(engines.begin(), engines.end());
+  std::erase_if(entries_,
+                [&retained](const auto& entry) { return !retained.contains(entry.first); });
 }
 
 EngineEntry* EngineTable::find(const EngineId& engine) {
@@ -57,39 +58,40 @@
   entry->availability = fact.availability;
 }
 
-void EngineTable::on_report(MonotonicTime now, const EngineId& engine, const LoadReport& report) {
+void EngineTable::on_load_report(MonotonicTime now, const EngineId& engine,
+                                 const LoadReport& report) {
   EngineEntry* entry = find(engine);
   if (entry == nullptr) return;
   const std::uint32_t total = report.running + report.waiting;
-  entry->others_running = total - std::min(total, entry->in_flight);
-  entry->others_prefill =
-      report.waiting_tokens - std::min(report.waiting_tokens, entry->in_flight_prefill);
+  entry->peer_requests = total - std::min(total, entry->in_flight);
+  entry->peer_prefill_tokens =
+      report.waiting_tokens - std::min(report.waiting_tokens, entry->in_flight_prefill_tokens);
   entry->reported_at = now;
 }
 
 void EngineTable::on_failure(MonotonicTime now, const EngineId& engine) {
   EngineEntry* entry = find(engine);
   if (entry == nullptr) return;
-  const std::uint32_t doublings = std::min(entry->failures, kMaxBackoffDoublings);
-  entry->down_until = now + kFirstBackoff * (1 << doublings);
-  ++entry->failures;
+  const std::uint32_t doublings = std::min(entry->consecutive_failures, kMaxBackoffDoublings);
+  entry->backoff_until = now + kInitialBackoff * (1 << doublings);
+  ++entry->consecutive_failures;
 }
 
 void EngineTable::on_success(const EngineId& engine) {
   EngineEntry* entry = find(engine);
   if (entry == nullptr) return;
-  entry->failures = 0;
-  entry->down_until.reset();
+  entry->consecutive_failures = 0;
+  entry->backoff_until.reset();
 }
 
-void EngineTable::set_leaving(const EngineId& engine, bool leaving) {
+void EngineTable::set_machine_draining(const EngineId& engine, bool draining) {
   EngineEntry* entry = find(engine);
-  if (entry != nullptr) entry->machine_leaving = leaving;
+  if (entry != nullptr) entry->machine_draining = draining;
 }
 
 bool EngineTable::is_eligible(MonotonicTime now, const EngineEntry& entry) const {
-  if (entry.availability != Availability::kServing || entry.machine_leaving) return false;
-  return !entry.down_until || now >= *entry.down_until;
+  if (entry.availability != Availability::kServing || entry.machine_draining) return false;
+  return !entry.backoff_until || now >= *entry.backoff_until;
 }
 
 }  // namespace shuntbank
--- a/src/core/routing/engine_table.hpp
+++ b/src/core/routing/engine_table.hpp
@@ -34,7 +34,7 @@
 struct EngineFact {
   EngineId engine;
   OrderStamp stamp;
-  std::uint32_t change = 0;  ///< Orders facts under one stamp.
+  std::uint32_t version = 0;  ///< Orders facts under one stamp.
   EngineRole role = EngineRole::kMixed;
   Availability availability = Availability::kServing;
 
@@ -56,14 +56,15 @@
   EngineRole role = EngineRole::kMixed;
   Availability availability = Availability::kServing;
   ZoneName zone;
-  std::uint32_t in_flight = 0;          ///< Requests of this node there.
-  std::uint64_t in_flight_prefill = 0;  ///< Prompt tokens of this node there, not yet answered.
-  std::uint32_t others_running = 0;     ///< Requests of other nodes, by the last report.
-  std::uint64_t others_prefill = 0;     ///< Prompt tokens of other nodes, by the last report.
+  std::uint32_t in_flight = 0;  ///< Requests of this node there.
+  std::uint64_t in_flight_prefill_tokens =
+      0;                                  ///< Prompt tokens of this node there, not yet answered.
+  std::uint32_t peer_requests = 0;        ///< Requests of other nodes, by the last report.
+  std::uint64_t peer_prefill_tokens = 0;  ///< Prompt tokens of other nodes, by the last report.
   MonotonicTime reported_at{};
-  std::optional<MonotonicTime> down_until;
-  std::uint32_t failures = 0;  ///< In a row, for the backoff.
-  bool machine_leaving = false;
+  std::optional<MonotonicTime> backoff_until;
+  std::uint32_t consecutive_failures = 0;  ///< In a row, for the backoff.
+  bool machine_draining = false;
   PrefixCache cached_prefixes;
 };
 
@@ -74,7 +75,7 @@
   void upsert(const EngineId& engine, const ZoneName& zone);
 
   /// Forgets engines that are not in `kept`.
-  void retain(const std::vector<EngineId>& kept);
+  void retain(const std::vector<EngineId>& engines);
 
   /// @return the entry, or null.
   EngineEntry* find(const EngineId& engine);
@@ -84,7 +85,7 @@
   void apply(const EngineFact& fact);
 
   /// A load report arrived, as of about now.
-  void on_report(MonotonicTime now, const EngineId& engine, const LoadReport& report);
+  void on_load_report(MonotonicTime now, const EngineId& engine, const LoadReport& report);
 
   /// A dispatch failed: the engine is avoided for a while that doubles with each failure in a row.
   void on_failure(MonotonicTime now, const EngineId& engine);
@@ -93,7 +94,7 @@
   void on_success(const EngineId& engine);
 
   /// The engine's machine is on the list of leaving machines, or no longer is.
-  void set_leaving(const EngineId& engine, bool leaving);
+  void set_machine_draining(const EngineId& engine, bool draining);
 
   /// @return whether new requests may go there now.
   bool is_eligible(MonotonicTime now, const EngineEntry& entry) const;
--- a/src/core/routing/prefix_cache.hpp
+++ b/src/core/routing/prefix_cache.hpp
@@ -41,7 +41,7 @@
 
  private:
   std::size_t max_blocks_;
-  std::list<std::uint64_t> by_use_;  ///< Most recent first.
+  std::list<std::uint64_t> lru_;  ///< Most recent first.
   std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> index_;
 };
 
--- a/src/core/routing/router.hpp
+++ b/src/core/routing/router.hpp
@@ -17,7 +17,7 @@
 enum class RoutingStrategy {
   kRoundRobin,
   kLeastInFlight,
-  kBestOfTwo,
+  kPowerOfTwoChoices,
   kPrefixAffinity,  ///< Expected wait less expected cache hit over a few candidates. The default.
 };
 
@@ -26,7 +26,7 @@
   RoutingStrategy strategy = RoutingStrategy::kPrefixAffinity;
   double prefill_tokens_per_second = 8000;
   double wait_per_running_request = 0.004;  ///< Seconds that one more running request adds.
-  double other_zone_penalty = 0.002;        ///< Seconds.
+  double cross_zone_penalty = 0.002;        ///< Seconds.
   Duration report_half_life = std::chrono::seconds(2);  ///< An old report fades at this rate.
   std::size_t affinity_candidates = 3;                  ///< Engines that a prefix is steered to.
   std::size_t random_candidates = 2;                    ///< Engines that are looked at besides.
@@ -35,7 +35,8 @@
 /// A request as the router sees it.
 struct RouteQuery {
   const std::vector<EngineId>* engines = nullptr;  ///< Engines of the service.
-  const std::vector<EngineId>* avoid = nullptr;  ///< Tried already; used only if none else is left.
+  const std::vector<EngineId>* excluded_engines =
+      nullptr;  ///< Tried already; used only if none else is left.
   const std::vector<std::uint64_t>* prefix = nullptr;  ///< Block hashes of the prompt; may be null.
   EngineRole wanted_role = EngineRole::kMixed;
   bool any_role = true;  ///< Plain services: roles mean nothing.
@@ -62,13 +63,13 @@
   };
 
   std::vector<Candidate> eligible(MonotonicTime now, const EngineTable& table,
-                                  const RouteQuery& query, bool avoid) const;
+                                  const RouteQuery& query, bool exclude) const;
   std::vector<Candidate> shortlist(std::vector<Candidate> candidates, const RouteQuery& query);
   Candidate least_in_flight(const std::vector<Candidate>& candidates) const;
 
   RoutingSettings settings_;
   std::mt19937_64 random_;
-  std::uint64_t next_ = 0;
+  std::uint64_t next_round_robin_ = 0;
 };
 
 }  // namespace shuntbank
--- a/src/engine/engine_api.cpp
+++ b/src/engine/engine_api.cpp
@@ -77,7 +77,7 @@
           {"sequence", state.stamp.sequence},
           {"desired", to_json(state.desired)},
           {"role", to_text(state.role)},
-          {"changing", state.changing},
+          {"changing", state.change_in_progress},
           {"models", models_to_json(state.models)},
           {"active", state.active}};
 }
@@ -88,7 +88,7 @@
     state.stamp = read_stamp(json);
     state.desired = read_desired(json.at("desired"));
     state.role = role_from_json(json.at("role"));
-    state.changing = json.at("changing").get<bool>();
+    state.change_in_progress = json.at("changing").get<bool>();
     state.models = models_from_json(json.at("models"));
     state.active = json.at("active").get<std::uint32_t>();
     return state;
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -289,10 +289,10 @@
   if (consider_change(members)) return;
   if (takeover_->history_lost() && ++takeover_ticks_ > kTicksBeforeLoss) {
     log_event(LogArea::kControl, LogLevel::kWarning, "claims_lost", {{"view", view}});
-    takeover_->accept_loss();
+    takeover_->accept_history_loss();
   }
   if (!takeover_->sealed()) {
-    for (const ClaimMember& member : takeover_->to_seal()) {
+    for (const ClaimMember& member : takeover_->members_to_seal()) {
       ask(member, ClaimSeal{view}, [this, member, current](const std::optional<Message>& reply) {
         const auto* sealed = reply ? std::get_if<ClaimSealed>(&*reply) : nullptr;
         if (sealed != nullptr && current()) takeover_->on_sealed(member.node, sealed->result);
@@ -300,8 +300,8 @@
     }
     return;
   }
-  for (const ClaimMember& member : takeover_->to_install()) {
-    ask(member, ClaimInstall{view, member.boot, takeover_->entries(), takeover_->quiet_for()},
+  for (const ClaimMember& member : takeover_->members_to_install()) {
+    ask(member, ClaimInstall{view, member.boot, takeover_->entries(), takeover_->grant_delay()},
         [this, member, view, current](const std::optional<Message>& reply) {
           const auto* status = reply ? std::get_if<ClaimStatus>(&*reply) : nullptr;
           const bool serves = status != nullptr && status->active_view == view;
--- a/src/node/cluster_service.cpp
+++ b/src/node/cluster_service.cpp
@@ -99,7 +99,7 @@
 }
 
 void ClusterService::learn_engines(const std::vector<EngineFact>& facts) {
-  const auto learned = engine_facts_.learn(facts, membership_.usable().size());
+  const auto learned = engine_facts_.merge(facts, membership_.usable().size());
   if (!learned.empty()) hooks_.on_engine_facts(learned);
 }
 
--- a/src/node/control_service.cpp
+++ b/src/node/control_service.cpp
@@ -202,7 +202,7 @@
   EngineController& controller = *found->second.controller;
   if (controller.fence() != fence) return;
   if (answer) return controller.on_state(runtime_.now(), engine, *answer);
-  if (answer.error() == EngineCallError::kStale) return controller.on_stale(engine);
+  if (answer.error() == EngineCallError::kStale) return controller.on_stale_fence(engine);
   controller.on_no_answer(runtime_.now(), engine);
 }
 
@@ -227,7 +227,7 @@
     demand.decode_tokens_per_second += report.decode_tokens_per_second;
   }
   duty.planner->observe(now, demand);
-  const auto choice = assign_roles(*duty.planner, duty.controller->lines());
+  const auto choice = assign_roles(*duty.planner, duty.controller->statuses());
   duty.plan = choice.reason;
   for (const auto& [engine, role] : choice.roles) {
     log_event(LogArea::kControl, LogLevel::kInfo, "role_wanted",
@@ -235,7 +235,7 @@
                {"engine", engine.value()},
                {"role", to_text(role)},
                {"reason", choice.reason}});
-    duty.controller->want_role(engine, role);
+    duty.controller->set_wanted_role(engine, role);
   }
 }
 
@@ -258,8 +258,8 @@
     line.role_changes = duty.role_changes_before;
     if (duty.controller) {
       line.role_changes += duty.controller->role_changes();
-      line.put_off = duty.controller->put_off();
-      line.engines = duty.controller->lines();
+      line.put_off = duty.controller->drain_timeouts();
+      line.engines = duty.controller->statuses();
     }
     lines.push_back(std::move(line));
   }
--- a/src/node/control_service.hpp
+++ b/src/node/control_service.hpp
@@ -46,7 +46,7 @@
     std::string plan;
     std::uint64_t role_changes = 0;
     std::uint64_t put_off = 0;
-    std::vector<EngineController::Line> engines;
+    std::vector<EngineController::EngineStatus> engines;
   };
   std::vector<DutyLine> lines() const;
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -162,7 +162,8 @@
       std::vector<std::string> hints;
       for (const Machine& machine : *machines) {
         if (machine.kind == "node") hints.push_back(machine.address);
-        if (machine.kind == "engine") engines_.set_leaving(EngineId(machine.name), machine.leaving);
+        if (machine.kind == "engine")
+          engines_.set_machine_draining(EngineId(machine.name), machine.leaving);
       }
       cluster_.hint(hints);
     });
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -48,17 +48,17 @@
       {{"error", "invalid"}, {"changed", "no"}, {"findings", to_json(failure.refusal.findings)}});
 }
 
-json to_json(const EngineController::Line& line) {
+json to_json(const EngineController::EngineStatus& line) {
   json item{{"engine", line.engine.value()},
             {"phase", to_text(line.phase)},
-            {"wanted_role", to_text(line.wanted)},
-            {"answers", line.answers}};
+            {"wanted_role", to_text(line.wanted_role)},
+            {"answers", line.responsive}};
   if (!line.state) return item;
   item["role"] = to_text(line.state->role);
   item["fence"] = line.state->stamp.fence;
   item["sequence"] = line.state->stamp.sequence;
   item["active"] = line.state->active;
-  item["changing"] = line.state->changing;
+  item["changing"] = line.state->change_in_progress;
   return item;
 }
 
--- a/src/node/request_session.cpp
+++ b/src/node/request_session.cpp
@@ -90,7 +90,7 @@
 std::optional<EngineId> RequestSession::choose(EngineRole role, bool any_role) {
   RouteQuery query;
   query.engines = &request_.snapshot->engines_of(request_.service);
-  query.avoid = &failed_engines_;
+  query.excluded_engines = &failed_engines_;
   query.prefix = role == EngineRole::kDecode ? nullptr : &request_.prefix;
   query.wanted_role = role;
   query.any_role = any_role;
@@ -162,7 +162,7 @@
   if (entry != nullptr) {
     ++entry->in_flight;
     const bool prefills = step == Step::kPrefill || !prefill_engine_;
-    if (prefills) entry->in_flight_prefill += request_.prompt_tokens;
+    if (prefills) entry->in_flight_prefill_tokens += request_.prompt_tokens;
     if (prefills) entry->cached_prefixes.insert(request_.prefix);
   }
   const auto self = shared_from_this();
@@ -179,7 +179,7 @@
   status_ = status;
   headers_ = headers;
   const auto load = engine_api::load_from_header(std::string(headers.get(engine_api::kLoadHeader)));
-  if (load) context_.engines.on_report(context_.runtime.now(), *engine_, *load);
+  if (load) context_.engines.on_load_report(context_.runtime.now(), *engine_, *load);
 }
 
 bool RequestSession::on_data(std::string_view piece) {
@@ -235,7 +235,8 @@
     context_.metrics.observe_first_token(request_.service.value(), seconds);
     EngineEntry* entry = context_.engines.find(*engine_);
     if (entry != nullptr && !prefill_engine_) {
-      entry->in_flight_prefill -= std::min(entry->in_flight_prefill, request_.prompt_tokens);
+      entry->in_flight_prefill_tokens -=
+          std::min(entry->in_flight_prefill_tokens, request_.prompt_tokens);
     }
   }
   begin_stream();
@@ -282,7 +283,7 @@
     return attempt_failed(AttemptFailure::kUncertain);
   }
   context_.engines.on_success(*prefill_engine_);
-  progress_.part_ran();
+  progress_.on_partial_run();
   kv_handle_ = reply["kv_handle"].get<std::string>();
   send(answer_engine_, Step::kAnswer);
 }
@@ -324,14 +325,14 @@
   failed_engines_.push_back(*engine_);
   const bool may_retry = context_.retries.try_withdraw();
   if (may_retry && failure != AttemptFailure::kUncertain && decode_elsewhere()) return;
-  const FailureDecision decision = progress_.attempt_failed(failure, may_retry);
+  const FailureDecision decision = progress_.on_attempt_failed(failure, may_retry);
   log_event(LogArea::kCallers, LogLevel::kInfo, "attempt_failed",
             {{"request", request_.id.value()},
              {"engine", engine_->value()},
              {"refused", refused},
-             {"retry", std::holds_alternative<TryElsewhere>(decision)}});
-  if (std::holds_alternative<TryElsewhere>(decision)) return dispatch();
-  give_up(std::get<GiveUp>(decision).outcome);
+             {"retry", std::holds_alternative<Redispatch>(decision)}});
+  if (std::holds_alternative<Redispatch>(decision)) return dispatch();
+  give_up(std::get<AbortRequest>(decision).outcome);
 }
 
 bool RequestSession::decode_elsewhere() {
@@ -371,7 +372,8 @@
   if (entry->in_flight > 0) --entry->in_flight;
   const bool prefills = step_ == Step::kPrefill || !prefill_engine_;
   if (prefills && !first_token_seen_) {
-    entry->in_flight_prefill -= std::min(entry->in_flight_prefill, request_.prompt_tokens);
+    entry->in_flight_prefill_tokens -=
+        std::min(entry->in_flight_prefill_tokens, request_.prompt_tokens);
   }
 }
 
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -30,7 +30,7 @@
 
 json to_json(const EngineFact& fact) {
   return {{"engine", fact.engine.value()}, {"fence", fact.stamp.fence},
-          {"seq", fact.stamp.sequence},    {"change", fact.change},
+          {"seq", fact.stamp.sequence},    {"change", fact.version},
           {"role", to_text(fact.role)},    {"state", to_text(fact.availability)}};
 }
 
@@ -41,7 +41,7 @@
   EngineFact fact;
   fact.engine = EngineId(item.at("engine").get<std::string>());
   fact.stamp = {item.at("fence").get<Fence>(), item.at("seq").get<Sequence>()};
-  fact.change = item.at("change").get<std::uint32_t>();
+  fact.version = item.at("change").get<std::uint32_t>();
   fact.role = *role;
   fact.availability = *availability;
   return fact;
@@ -172,9 +172,9 @@
 
 json body_of(const ClaimSealed& message) {
   return {{"type", "claim_sealed"},
-          {"vouched", message.result.vouched_view},
+          {"vouched", message.result.served_view},
           {"entries", list_to_json(message.result.entries)},
-          {"quiet_us", message.result.quiet_for.count()}};
+          {"quiet_us", message.result.grant_delay.count()}};
 }
 
 json body_of(const ClaimInstall& message) {
--- a/src/standin/engine_emulator.cpp
+++ b/src/standin/engine_emulator.cpp
@@ -157,7 +157,7 @@
   state.stamp = gate_.held();
   state.desired = gate_.held().sequence == 0 ? in_force_ : gate_.desired();
   state.role = in_force_.role;
-  state.changing = change_ends_.has_value();
+  state.change_in_progress = change_ends_.has_value();
   state.models = in_force_.models;
   state.active = static_cast<std::uint32_t>(waiting_.size() + decoding_.size());
   return state;
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -116,7 +116,8 @@
                {"role", to_text(order->desired.role)},
                {"accepting", order->desired.accepting},
                {"taken", verdict == OrderVerdict::kAccepted}});
-    if (emulator_.state().changing && std::exchange(faults_.crash_in_next_change, false)) {
+    if (emulator_.state().change_in_progress &&
+        std::exchange(faults_.crash_in_next_change, false)) {
       emulator_.restart(emulated_now());
     }
     run_emulator();
--- a/tests/core/requests/claims_test.cpp
+++ b/tests/core/requests/claims_test.cpp
@@ -18,13 +18,13 @@
 
 /// Six nodes, a store, and coordinators that may stop at any step and go on from what is stored.
 /// Every exchange may be lost on the way there or back; any node may restart and forget.
-struct World {
-  explicit World(std::uint64_t seed) : random(seed) {
+struct Cluster {
+  explicit Cluster(std::uint64_t seed) : random(seed) {
     for (int i = 0; i < 6; ++i) replicas.emplace_back(1, 10min, 1000);
   }
 
-  bool lost() { return random() % 4 == 0; }
-  ClaimReplica& at(const NodeId& node) {
+  bool drop_message() { return random() % 4 == 0; }
+  ClaimReplica& replica_of(const NodeId& node) {
     return replicas[static_cast<std::size_t>(node.value()[1] - '0')];
   }
 
@@ -33,16 +33,16 @@
     if (!known.stable) return false;
     ClaimVote vote(known.members.size());
     auto decision = ClaimVote::Decision::kPending;
-    for (const ClaimMember& to : known.members) {
+    for (const ClaimMember& target : known.members) {
       auto verdict = ClaimVerdict::kUnavailable;
-      if (!lost()) verdict = at(to.node).claim(now, known.view, key, claimant);
-      if (lost()) verdict = ClaimVerdict::kUnavailable;
+      if (!drop_message()) verdict = replica_of(target.node).claim(now, known.view, key, claimant);
+      if (drop_message()) verdict = ClaimVerdict::kUnavailable;
       if (decision == ClaimVote::Decision::kPending) decision = vote.add(verdict);
     }
     return decision == ClaimVote::Decision::kGranted;
   }
 
-  void coordinate() {
+  void run_coordinator() {
     if (stored.stable || stored.view == 0 || random() % 6 == 0) {
       std::vector<MemberFact> usable;
       for (int i = 0; i < 6; ++i) {
@@ -50,100 +50,104 @@
         usable.push_back(member(i));
         usable.back().boot = boots.at(static_cast<std::size_t>(i));
       }
-      std::set<NodeId> vouching;
-      for (const ClaimMember& to : stored.members) {
-        if (at(to.node).active_view() == stored.view) vouching.insert(to.node);
+      std::set<NodeId> serving_members;
+      for (const ClaimMember& target : stored.members) {
+        if (replica_of(target.node).active_view() == stored.view)
+          serving_members.insert(target.node);
       }
-      if (const auto next = next_claim_group(stored, usable, vouching)) stored = *next;
+      if (const auto next = next_claim_group(stored, usable, serving_members)) stored = *next;
       return;
     }
     ClaimTakeover takeover(stored, 10min);
-    for (const ClaimMember& to : takeover.to_seal()) {
-      if (lost()) continue;
-      const SealResult result = at(to.node).seal(now, stored.view);
-      if (!lost()) takeover.on_sealed(to.node, result);
+    for (const ClaimMember& target : takeover.members_to_seal()) {
+      if (drop_message()) continue;
+      const SealResult result = replica_of(target.node).seal(now, stored.view);
+      if (!drop_message()) takeover.on_sealed(target.node, result);
     }
-    if (takeover.history_lost()) takeover.accept_loss();
-    for (const ClaimMember& to : takeover.to_install()) {
+    if (takeover.history_lost()) takeover.accept_history_loss();
+    for (const ClaimMember& target : takeover.members_to_install()) {
       const ClaimView view = stored.view;
-      const auto install = [this, to, view, entries = takeover.entries(),
-                            quiet = takeover.quiet_for()] {
-        return at(to.node).install(now, view, to.boot, entries, quiet);
+      const auto install = [this, target, view, entries = takeover.entries(),
+                            grant_delay = takeover.grant_delay()] {
+        return replica_of(target.node).install(now, view, target.boot, entries, grant_delay);
       };
-      // A message may also come much later, when the world has moved on.
-      late.push_back(install);
-      if (!lost() && install() && !lost()) takeover.on_installed(to.node);
+      // A message may also come much later, when the cluster has moved on.
+      delayed_installs.push_back(install);
+      if (!drop_message() && install() && !drop_message()) takeover.on_installed(target.node);
     }
-    if (takeover.sealed() && takeover.installed() && !lost()) stored.stable = true;
+    if (takeover.sealed() && takeover.installed() && !drop_message()) stored.stable = true;
   }
 
   std::mt19937_64 random;
   std::vector<ClaimReplica> replicas;
   std::vector<std::uint64_t> boots = std::vector<std::uint64_t>(6, 1);
-  std::vector<std::function<bool()>> late;
+  std::vector<std::function<bool()>> delayed_installs;
   ClaimGroupRecord stored;
   MonotonicTime now{};
 };
 
 }  // namespace
 
-Test(claims, at_most_one_request_is_granted_a_key_through_any_changes_of_the_group) {
+Test(claims, grants_a_key_to_at_most_one_request_across_group_changes) {
   SHUNTBANK_PROPERTY("one claimant for each key", [] {
-    World world(*rc::gen::arbitrary<std::uint64_t>());
+    Cluster cluster(*rc::gen::arbitrary<std::uint64_t>());
     std::map<ClaimKey, RequestId> granted;
-    std::vector<ClaimGroupRecord> known{world.stored};
+    std::vector<ClaimGroupRecord> known_records{cluster.stored};
     int claimants = 0;
     for (int step = 0; step < 300; ++step) {
-      world.now += 100ms;
-      const auto action = world.random() % 10;
+      cluster.now += 100ms;
+      const auto action = cluster.random() % 10;
       if (action < 5) {
-        const ClaimKey key("k" + std::to_string(world.random() % 6));
+        const ClaimKey key("k" + std::to_string(cluster.random() % 6));
         const RequestId claimant("r" + std::to_string(++claimants));
         const auto& record =
-            known[known.size() - 1 - world.random() % std::min<std::size_t>(3, known.size())];
-        if (world.claim(record, key, claimant)) {
+            known_records[known_records.size() - 1 -
+                          cluster.random() % std::min<std::size_t>(3, known_records.size())];
+        if (cluster.claim(record, key, claimant)) {
           RC_ASSERT(granted.emplace(key, claimant).first->second == claimant);
         }
       } else if (action < 9) {
-        world.coordinate();
-        known.push_back(world.stored);
-      } else if (world.random() % 8 == 0) {
-        const std::size_t restarted = world.random() % 6;
-        world.replicas[restarted] = ClaimReplica(++world.boots[restarted], 10min, 1000);
-      } else if (!world.late.empty()) {
-        world.late[world.random() % world.late.size()]();
+        cluster.run_coordinator();
+        known_records.push_back(cluster.stored);
+      } else if (cluster.random() % 8 == 0) {
+        const std::size_t restarted = cluster.random() % 6;
+        cluster.replicas[restarted] = ClaimReplica(++cluster.boots[restarted], 10min, 1000);
+      } else if (!cluster.delayed_installs.empty()) {
+        cluster.delayed_installs[cluster.random() % cluster.delayed_installs.size()]();
       }
     }
   });
 }
 
-Test(claims, a_healthy_group_grants_and_is_found_again) {
-  World world(1);
-  std::vector<ClaimReplica>& replicas = world.replicas;
+Test(claims, a_healthy_group_grants_a_key_once) {
+  Cluster cluster(1);
+  std::vector<ClaimReplica>& replicas = cluster.replicas;
   std::vector<MemberFact> usable;
   for (int i = 0; i < 6; ++i) usable.push_back(member(i));
   ClaimGroupRecord record = *next_claim_group({}, usable, {});
   cr_assert_eq(record.members.size(), 3);
-  for (const ClaimMember& to : record.members) cr_assert(world.at(to.node).install({}, 1, 1, {}));
+  for (const ClaimMember& target : record.members)
+    cr_assert(cluster.replica_of(target.node).install({}, 1, 1, {}));
   int granted = 0;
   for (ClaimReplica& replica : replicas) {
     granted +=
         replica.claim({}, 1, ClaimKey("k"), RequestId("a")) == ClaimVerdict::kGranted ? 1 : 0;
   }
   cr_assert_eq(granted, 3);
-  cr_assert_eq(world.at(record.members[0].node).claim({}, 1, ClaimKey("k"), RequestId("b")),
-               ClaimVerdict::kHeld);
+  cr_assert_eq(
+      cluster.replica_of(record.members[0].node).claim({}, 1, ClaimKey("k"), RequestId("b")),
+      ClaimVerdict::kHeld);
 }
 
-Test(claims, members_lie_in_different_zones_and_a_group_never_shrinks) {
+Test(claims, members_are_in_different_zones_and_a_group_never_shrinks) {
   std::vector<MemberFact> usable{member(0), member(3), member(1), member(2)};
   ClaimGroupRecord record = *next_claim_group({}, usable, {});
   std::set<char> zones;
-  for (const ClaimMember& to : record.members) zones.insert((to.node.value()[1] - '0') % 3);
+  for (const ClaimMember& target : record.members) zones.insert((target.node.value()[1] - '0') % 3);
   cr_assert_eq(zones.size(), 3);
   record.stable = true;
   std::set<NodeId> all;
-  for (const ClaimMember& to : record.members) all.insert(to.node);
+  for (const ClaimMember& target : record.members) all.insert(target.node);
   const std::vector<MemberFact> two{member(1), member(2)};
   const auto next = next_claim_group(record, two, all);
   cr_assert(!next || next->members.size() == 3);
@@ -159,7 +163,7 @@
       });
 }
 
-Test(claims, a_restarted_replica_grants_nothing_until_it_has_taken_over) {
+Test(claims, a_restarted_replica_grants_nothing_before_it_installs_a_view) {
   ClaimReplica replica(1, 10min, 10);
   cr_assert_eq(replica.claim({}, 1, ClaimKey("k"), RequestId("a")), ClaimVerdict::kUnavailable);
   replica.install({}, 2, 1, {{ClaimKey("k"), RequestId("a"), 1s}});
--- a/tests/core/requests/request_progress_test.cpp
+++ b/tests/core/requests/request_progress_test.cpp
@@ -11,8 +11,8 @@
   RequestProgress progress(RequestId("r"), true, 3);
   const AttemptId first = progress.begin_attempt();
   cr_assert_eq(progress.accept_chunk(first, 0), ChunkVerdict::kDeliver);
-  const auto decision = progress.attempt_failed(AttemptFailure::kUncertain, true);
-  cr_assert_eq(std::get<TryElsewhere>(decision).resume_from, 1);
+  const auto decision = progress.on_attempt_failed(AttemptFailure::kUncertain, true);
+  cr_assert_eq(std::get<Redispatch>(decision).resume_from, 1);
   cr_assert_eq(progress.accept_chunk(first, 1), ChunkVerdict::kDrop);
   const AttemptId second = progress.begin_attempt();
   cr_assert_eq(progress.accept_chunk(first, 1), ChunkVerdict::kDrop);
@@ -21,7 +21,7 @@
   cr_assert_eq(progress.accept_chunk(second, 1), ChunkVerdict::kDeliver);
 }
 
-Test(request_progress, keeps_its_promises_over_any_course) {
+Test(request_progress, holds_its_guarantees_under_random_failures) {
   // The model: an attempt runs at the engine unless it failed before anything was sent or was
   // refused. Whatever happens, a request that is not repeatable runs at most once, `not_run` is
   // said only if nothing ran, and the delivered indices are 0, 1, 2, ... without a gap or a repeat.
@@ -46,24 +46,24 @@
           if (verdict == ChunkVerdict::kDeliver) ++next;
         }
       }
-      const auto decision = progress.attempt_failed(failure, *rc::gen::arbitrary<bool>());
-      if (const auto* give_up = std::get_if<GiveUp>(&decision)) {
-        RC_ASSERT((give_up->outcome == RequestOutcome::kNotRun) == (runs == 0));
+      const auto decision = progress.on_attempt_failed(failure, *rc::gen::arbitrary<bool>());
+      if (const auto* abort_request = std::get_if<AbortRequest>(&decision)) {
+        RC_ASSERT((abort_request->outcome == RequestOutcome::kNotRun) == (runs == 0));
         break;
       }
-      RC_ASSERT(std::get<TryElsewhere>(decision).resume_from == next);
+      RC_ASSERT(std::get<Redispatch>(decision).resume_from == next);
       RC_ASSERT(repeatable || runs == 0);
     }
     RC_ASSERT(repeatable || runs <= 1);
   });
 }
 
-Test(request_progress, a_part_that_ran_rules_out_not_run) {
+Test(request_progress, a_partial_run_rules_out_not_run) {
   RequestProgress progress(RequestId("r"), false, 3);
   progress.begin_attempt();
-  progress.part_ran();
-  const auto decision = progress.attempt_failed(AttemptFailure::kRefused, true);
-  cr_assert_eq(std::get<GiveUp>(decision).outcome, RequestOutcome::kUnknown);
+  progress.on_partial_run();
+  const auto decision = progress.on_attempt_failed(AttemptFailure::kRefused, true);
+  cr_assert_eq(std::get<AbortRequest>(decision).outcome, RequestOutcome::kUnknown);
 }
 
 Test(request_progress, an_attempt_in_flight_is_unknown) {
--- a/tests/engine/event_stream_test.cpp
+++ b/tests/engine/event_stream_test.cpp
@@ -47,7 +47,7 @@
   state.stamp = {3, 9};
   state.desired = {EngineRole::kDecode, {{"m", "1", {"a", "b"}}}, false};
   state.role = EngineRole::kPrefill;
-  state.changing = true;
+  state.change_in_progress = true;
   state.active = 5;
   const auto back = engine_api::state_from_json(engine_api::to_json(state));
   cr_assert(back.has_value());
--- a/tests/protocol/messages_test.cpp
+++ b/tests/protocol/messages_test.cpp
@@ -35,7 +35,7 @@
   EngineFact fact;
   fact.engine = EngineId("oraculo-large-640");
   fact.stamp = {123'456, 0};
-  fact.change = 123'456;
+  fact.version = 123'456;
   fact.role = EngineRole::kPrefill;
   fact.availability = Availability::kDraining;
   heartbeat.engines.assign(3, fact);
