--- a/src/core/roles/engine_controller.cpp
+++ b/src/core/roles/engine_controller.cpp
@@ -51,9 +51,9 @@
     : fence_(fence), settings_(settings), counters_(counters) {}
 
 void EngineController::configure(const std::vector<EngineId>& engines,
-                                 const std::vector<ModelSpec>& models, Duration drain_bound) {
+                                 const std::vector<ModelSpec>& models, Duration drain_timeout) {
   models_ = models;
-  drain_bound_ = drain_bound;
+  drain_timeout_ = drain_timeout;
   const std::set<EngineId> wanted(engines.begin(), engines.end());
   std::erase_if(engines_, [&wanted](const auto& entry) { return !wanted.contains(entry.first); });
   for (const EngineId& engine : engines) engines_.try_emplace(engine);
@@ -105,17 +105,17 @@
   // An engine without models serves nothing, so there is nothing to drain.
   if (control.state->models.empty()) {
     control.phase = ControlPhase::kChanging;
-    return order(engine, control, wanted);
+    return make_order(engine, control, wanted);
   }
   const bool only_accepting_differs = control.state->role == wanted.role &&
                                       control.state->models == wanted.models &&
                                       !control.state->change_in_progress;
-  if (only_accepting_differs) return order(engine, control, wanted);
+  if (only_accepting_differs) return make_order(engine, control, wanted);
   if (now < control.drain_retry_at || !may_start_change()) return std::nullopt;
   control.phase = ControlPhase::kDraining;
   control.drain_started_at = now;
   DesiredState refusing{control.state->role, control.state->models, false};
-  return order(engine, control, std::move(refusing));
+  return make_order(engine, control, std::move(refusing));
 }
 
 std::optional<ControlCommand> EngineController::drain(MonotonicTime now, const EngineId& engine,
@@ -125,18 +125,18 @@
   // No new request can start once the engine holds the closing order, so zero active is final.
   if (refusing && control.state->active == 0) {
     control.phase = ControlPhase::kChanging;
-    return order(engine, control, wanted);
+    return make_order(engine, control, wanted);
   }
-  if (now < control.drain_started_at + drain_bound_) return std::nullopt;
+  if (now < control.drain_started_at + drain_timeout_) return std::nullopt;
   ++drain_timeouts_;
   control.phase = ControlPhase::kSteady;
   control.drain_retry_at = now + settings_.drain_retry_delay;
   DesiredState reopened{control.state->role, control.state->models, true};
-  return order(engine, control, std::move(reopened));
+  return make_order(engine, control, std::move(reopened));
 }
 
-ControlCommand EngineController::order(const EngineId& engine, Control& control,
-                                       DesiredState desired) {
+ControlCommand EngineController::make_order(const EngineId& engine, Control& control,
+                                            DesiredState desired) {
   control.unconfirmed_order = EngineOrder{{fence_, ++counters_.order}, std::move(desired)};
   update_fact(engine, control);
   return SendOrder{engine, *control.unconfirmed_order};
--- a/src/core/roles/engine_controller.hpp
+++ b/src/core/roles/engine_controller.hpp
@@ -84,7 +84,7 @@
 
   /// Sets which engines there are and what each holds, from the configuration.
   void configure(const std::vector<EngineId>& engines, const std::vector<ModelSpec>& models,
-                 Duration drain_bound);
+                 Duration drain_timeout);
 
   /// Sets the role that an engine should have, from the planner.
   void set_wanted_role(const EngineId& engine, EngineRole role);
@@ -151,7 +151,7 @@
   std::optional<ControlCommand> act_on_state(MonotonicTime now, const EngineId& engine,
                                              Control& control);
   std::optional<ControlCommand> drain(MonotonicTime now, const EngineId& engine, Control& control);
-  ControlCommand order(const EngineId& engine, Control& control, DesiredState desired);
+  ControlCommand make_order(const EngineId& engine, Control& control, DesiredState desired);
   DesiredState target_state(const Control& control) const;
   bool may_start_change() const;
   void update_fact(const EngineId& engine, Control& control);
@@ -159,7 +159,7 @@
   Fence fence_;
   ControllerSettings settings_;
   std::vector<ModelSpec> models_;
-  Duration drain_bound_ = std::chrono::seconds(30);
+  Duration drain_timeout_ = std::chrono::seconds(30);
   std::map<EngineId, Control> engines_;
   ControlCounters counters_;
   bool superseded_ = false;
--- a/src/core/roles/role_planner.cpp
+++ b/src/core/roles/role_planner.cpp
@@ -10,7 +10,7 @@
 constexpr double kMaxUtilization = 0.85;
 
 /// The trend is followed only in part, since it is noisier than the level.
-constexpr double kTrendGain = 0.5;
+constexpr double kTrendDamping = 0.5;
 
 double smooth(double before, double sample, double weight) {
   return before + weight * (sample - before);
@@ -48,7 +48,7 @@
 }
 
 DemandSample RolePlanner::forecast() const {
-  const double lookahead = kTrendGain * to_seconds(settings_.change_duration);
+  const double lookahead = kTrendDamping * to_seconds(settings_.change_duration);
   const auto at = [lookahead](double level, double trend) {
     return std::max(0.0, level + lookahead * trend);
   };
