--- a/src/core/requests/claim_group.cpp
+++ b/src/core/requests/claim_group.cpp
@@ -16,7 +16,7 @@
   return found == members.end() ? nullptr : &*found;
 }
 
-/// Adds usable nodes until the group is full, those in zones without a replica first.
+/// Adds usable nodes until the group is full, preferring zones without a replica.
 void fill_group(std::vector<MemberFact>& group, const std::vector<MemberFact>& usable) {
   std::vector<MemberFact> ranked = rank_for_duty("claims", usable, usable.size());
   while (group.size() < kClaimReplicas) {
@@ -52,8 +52,8 @@
   fill_group(group, usable);
   ClaimGroupRecord next;
   for (const MemberFact& fact : group) next.members.push_back({fact.node, fact.address, fact.boot});
-  // A missing member stays when nobody can replace it: a group never shrinks, since a smaller group
-  // would survive fewer failures than the one that it takes over from.
+  // A missing member without a replacement stays: a smaller group would tolerate fewer failures
+  // than the previous one.
   for (const ClaimMember& member : missing) {
     if (next.members.size() < record.members.size()) next.members.push_back(member);
   }
@@ -70,8 +70,8 @@
       [&serving_members](const MemberFact& fact) { return serving_members.contains(fact.node); });
   if (same_members() && all_serve) return std::nullopt;
   next.view = record.view + 1;
-  // Nobody is granted anything under a view that never became stable, so the one before it still is
-  // what has to be taken over.
+  // No claim is granted under a view that never became stable, so the last stable view remains the
+  // one to take over.
   next.previous_view = record.stable ? record.view : record.previous_view;
   next.previous_members = record.stable ? record.members : record.previous_members;
   return next;
@@ -89,10 +89,10 @@
 }
 
 void ClaimTakeover::on_sealed(const NodeId& node, const SealResult& result) {
-  // A takeover before this one got as far as here: what it merged is complete.
+  // An earlier takeover already installed its merged claims here, so they are complete.
   const bool served_new_view = result.served_view > record_.previous_view;
   complete_ = complete_ || served_new_view;
-  // Otherwise only a replica that served the view before knows what it granted there.
+  // Otherwise only a replica that served the previous view knows its grants there.
   if (!served_new_view && result.served_view != record_.previous_view) {
     sealed_without_history_.insert(node);
     return;
--- a/src/core/requests/claim_group.hpp
+++ b/src/core/requests/claim_group.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The composition of a claim group, kept in the platform's store, and how it changes. A new view
-/// serves only after a majority of the view before is sealed and its claims are merged; so every
-/// claim that was ever granted is known to a majority of the view in force.
+/// Membership of a claim group, stored on the platform, and its reconfiguration. A new view serves
+/// only after a majority of the previous view is sealed and its claims are merged, so every granted
+/// claim is known to a majority of the active view.
 #pragma once
 
 #include <optional>
@@ -14,23 +14,23 @@
 
 namespace shuntbank {
 
-/// Replicas of a group, when there are enough zones.
+/// Replicas of a group, given enough nodes.
 constexpr std::size_t kClaimReplicas = 3;
 
 /// A member of a group.
 struct ClaimMember {
   NodeId node;
   std::string address;     ///< `IP:PORT` of its cluster interface.
-  std::uint64_t boot = 0;  ///< A restarted node is another member.
+  std::uint64_t boot = 0;  ///< Incarnation; differs after a restart.
 
   bool operator==(const ClaimMember&) const = default;
 };
 
-/// The stored composition.
+/// The stored membership.
 struct ClaimGroupRecord {
   ClaimView view = 0;
   std::vector<ClaimMember> members;
-  bool stable = false;  ///< False: claims of the view before are still being taken over.
+  bool stable = false;  ///< False while claims of the previous view are taken over.
   ClaimView previous_view = 0;
   std::vector<ClaimMember> previous_members;
 
@@ -38,60 +38,60 @@
 };
 
 /// Decides whether a group should change.
-/// @param usable members of the region that may hold duties.
-/// @param serving_members members of the group that say that they serve its view.
-/// @return the next record, not yet stable; nothing when the group is fine as it is.
+/// @param usable nodes of the region that are eligible as members.
+/// @param serving_members members of the group that report serving its view.
+/// @return the next record, not yet stable; nothing when no change is needed.
 std::optional<ClaimGroupRecord> next_claim_group(const ClaimGroupRecord& record,
                                                  const std::vector<MemberFact>& usable,
                                                  const std::set<NodeId>& serving_members);
 
-/// Takes over the claims of the view before, step by step. The driver sends what it is told to and
-/// reports the answers.
+/// Transfers the claims of the previous view to a new one. The driver sends the seal and install
+/// calls and reports the answers.
 class ClaimTakeover {
  public:
-  /// @param retention how long claims are held.
+  /// @param retention how long a claim is kept.
   ClaimTakeover(ClaimGroupRecord record, Duration retention);
 
   const ClaimGroupRecord& record() const { return record_; }
 
-  /// @return members of the view before that are still to be sealed.
+  /// @return members of the previous view that are not yet sealed.
   std::vector<ClaimMember> members_to_seal() const;
 
-  /// A member of the view before was sealed.
+  /// A member of the previous view was sealed.
   void on_sealed(const NodeId& node, const SealResult& result);
 
-  /// @return whether a majority of the view before is sealed, so that `entries` are complete.
+  /// @return whether a majority of the previous view is sealed, so that `entries` is complete.
   bool sealed() const;
 
-  /// @return whether a majority can grant nothing any more, but too many of it were restarted and
-  /// have forgotten what they granted.
+  /// @return whether a majority is sealed, but too many of its members restarted and lost their
+  /// claims.
   bool history_lost() const;
 
-  /// Goes on without the history: nothing is granted until every lost claim has run out.
+  /// Continues without the lost claims: nothing is granted until they have expired.
   void accept_history_loss();
 
-  /// @return how long the new view grants nothing.
+  /// @return how long the new view must not grant.
   Duration grant_delay() const { return grant_delay_; }
 
   /// @return the merged claims.
   const std::vector<ClaimEntry>& entries() const { return entries_; }
 
-  /// @return members of the new view that are still to install it.
+  /// @return members of the new view that have not installed it.
   std::vector<ClaimMember> members_to_install() const;
 
-  /// A member of the new view serves it.
+  /// A member of the new view installed it.
   void on_installed(const NodeId& node) { installed_.insert(node); }
 
-  /// @return whether a majority of the new view serves it, so that the record may become stable.
+  /// @return whether a majority of the new view installed it, so that the record may become stable.
   bool installed() const;
 
  private:
   ClaimGroupRecord record_;
-  bool complete_ = false;  ///< A member serves the new view already, so it knows every claim.
+  bool complete_ = false;  ///< A member already serves the new view and has every claim.
   Duration retention_;
   Duration grant_delay_{0};
   std::set<NodeId> sealed_;
-  std::set<NodeId> sealed_without_history_;  ///< Sealed, but without knowledge of the view before.
+  std::set<NodeId> sealed_without_history_;  ///< Sealed, but did not serve the previous view.
   std::set<NodeId> installed_;
   std::vector<ClaimEntry> entries_;
 };
--- a/src/core/requests/claim_replica.cpp
+++ b/src/core/requests/claim_replica.cpp
@@ -7,7 +7,7 @@
 namespace shuntbank {
 namespace {
 
-/// Old claims are swept out at most so often.
+/// Minimum interval between sweeps of expired claims.
 constexpr Duration kExpireInterval = std::chrono::seconds(10);
 
 constexpr std::size_t kKeyDigits = 32;
@@ -15,7 +15,7 @@
 }  // namespace
 
 ClaimKey claim_key(const TenantName& tenant, const std::string& idempotency_key) {
-  // The length in front keeps two pairs of names apart whose joined texts are equal.
+  // The length prefix distinguishes pairs with equal concatenations.
   const std::string joined =
       std::to_string(tenant.value().size()) + ":" + tenant.value() + idempotency_key;
   return ClaimKey(sha256_hex(joined).substr(0, kKeyDigits));
@@ -57,7 +57,7 @@
 bool ClaimReplica::install(MonotonicTime now, ClaimView view, std::uint64_t boot,
                            const std::vector<ClaimEntry>& entries, Duration grant_delay) {
   if (boot != boot_) return false;
-  // A late install of an older view must not bring back what a newer view has sealed.
+  // A delayed install of an older view must not undo the seal of a newer view.
   if (view < sealed_view_ || view < served_view_) return false;
   for (const ClaimEntry& entry : entries) {
     claims_.try_emplace(entry.key, Claim{entry.claimant, now - entry.age});
--- a/src/core/requests/claim_replica.hpp
+++ b/src/core/requests/claim_replica.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Claims on idempotency keys: a request that may run only once is dispatched only after a majority
-/// of a group of replicas, in different zones, holds its key. docs/design/0005-claims.md tells why
-/// this is safe while the group changes.
+/// of a replica group has granted it the key. docs/design/0005-claims.md shows why this is safe
+/// while the group changes.
 #pragma once
 
 #include <cstdint>
@@ -15,65 +15,65 @@
 
 namespace shuntbank {
 
-/// Number of a group's composition. Only grows; zero means "none".
+/// Version of a group's membership. Only grows; zero means none.
 using ClaimView = std::uint64_t;
 
-/// Identifies a tenant's idempotency key; made by `claim_key`.
+/// Identifies the idempotency key of a tenant; made by `claim_key`.
 using ClaimKey = Identifier<struct ClaimKeyTag>;
 
-/// @return the key of a tenant's own `idempotency_key`; two tenants never share one.
+/// @return the claim key of a tenant's `idempotency_key`; distinct for each tenant.
 ClaimKey claim_key(const TenantName& tenant, const std::string& idempotency_key);
 
-/// One held claim, as it is handed to another replica.
+/// A granted claim, as transferred to another replica.
 struct ClaimEntry {
   ClaimKey key;
   RequestId claimant;
-  Duration age{0};  ///< Since it was granted; clocks of two machines are never compared.
+  Duration age{0};  ///< Since the grant; a duration, since clocks differ between machines.
 
   bool operator==(const ClaimEntry&) const = default;
 };
 
 /// Answer of one replica.
 enum class ClaimVerdict {
-  kGranted,      ///< The claimant holds the key here.
+  kGranted,      ///< The key is granted to the claimant.
   kHeld,         ///< Another request holds it.
-  kUnavailable,  ///< This replica does not serve that view, or is full.
+  kUnavailable,  ///< The replica does not serve the view, or is full.
 };
 
-/// What a replica hands over when it is sealed.
+/// State of a replica, returned when it is sealed.
 struct SealResult {
-  ClaimView served_view = 0;  ///< View that it knows all its grants of; zero: it knows nothing.
+  ClaimView served_view = 0;  ///< Latest view that the replica installed; zero: none.
   std::vector<ClaimEntry> entries;
-  Duration grant_delay{0};  ///< It grants nothing for so long yet.
+  Duration grant_delay{0};  ///< Time until it may grant again.
 };
 
-/// One replica of the claims. Memory only: after a restart it vouches for nothing.
+/// One replica of the claims. In memory only: after a restart it serves no view.
 class ClaimReplica {
  public:
-  /// @param boot tells this process from any before under the same name.
-  /// @param retention how long a claim is held.
-  /// @param max_claims most claims held; further ones are refused.
+  /// @param boot incarnation of this process.
+  /// @param retention how long a claim is kept.
+  /// @param max_claims limit above which new claims are refused.
   ClaimReplica(std::uint64_t boot, Duration retention, std::size_t max_claims);
 
-  /// Claims a key for a request under `view`. Claiming again for the same request is granted again.
+  /// Claims a key for a request under `view`. Idempotent for the same request.
   ClaimVerdict claim(MonotonicTime now, ClaimView view, const ClaimKey& key,
                      const RequestId& claimant);
 
-  /// Gives a claim back: its request surely did not run.
+  /// Releases a claim whose request is known not to have run.
   void release(const ClaimKey& key, const RequestId& claimant);
 
-  /// Promises to grant nothing under views below `view` any more, and hands over what it holds.
+  /// Stops granting under views below `view` and returns all claims.
   SealResult seal(MonotonicTime now, ClaimView view);
 
-  /// Begins to serve `view` with the merged claims of a majority of the view before.
-  /// @param boot of the process that the view names. A restarted one refuses: the process before
-  /// may have granted claims under this view that it does not know.
-  /// @param grant_delay grant nothing for so long: claims were lost, and must run out first.
+  /// Starts to serve `view` with the merged claims of a majority of the previous view.
+  /// @param boot incarnation that the view names. A restarted process refuses: its predecessor may
+  /// have granted claims under this view.
+  /// @param grant_delay time without grants, until claims that were lost have expired.
   /// @return whether it now serves that view.
   bool install(MonotonicTime now, ClaimView view, std::uint64_t boot,
                const std::vector<ClaimEntry>& entries, Duration grant_delay = Duration::zero());
 
-  /// @return the view that it grants under; zero: none.
+  /// @return the view under which claims are granted; zero: none.
   ClaimView active_view() const { return sealed_view_ > served_view_ ? 0 : served_view_; }
 
   std::size_t size() const { return claims_.size(); }
@@ -89,21 +89,21 @@
   std::uint64_t boot_;
   Duration retention_;
   std::size_t max_claims_;
-  ClaimView served_view_ = 0;  ///< It has every grant of this view that it made itself.
-  ClaimView sealed_view_ = 0;  ///< It grants nothing below this view.
+  ClaimView served_view_ = 0;  ///< Latest installed view; all own grants under it are present.
+  ClaimView sealed_view_ = 0;  ///< Nothing is granted below this view.
   std::unordered_map<ClaimKey, Claim> claims_;
   MonotonicTime next_expiry_at_{};
   MonotonicTime grants_start_at_{};
 };
 
-/// Counts the answers to one claim.
+/// Counts the replicas' answers to one claim.
 class ClaimVote {
  public:
   explicit ClaimVote(std::size_t members) : members_(members) {}
 
   enum class Decision { kPending, kGranted, kHeld, kUnavailable };
 
-  /// Adds one member's answer; no answer counts as unavailable.
+  /// Adds one member's answer; a missing answer counts as unavailable.
   Decision add(ClaimVerdict verdict);
 
  private:
--- a/src/core/requests/retry_budget.hpp
+++ b/src/core/requests/retry_budget.hpp
@@ -1,17 +1,16 @@
 /// @file
-/// A bound on retries as a share of requests, so that an overload is not amplified.
+/// Limits retries to a share of requests, so that retries do not amplify an overload.
 #pragma once
 
 #include <algorithm>
 
 namespace shuntbank {
 
-/// Each request deposits a share of a retry; each retry withdraws one.
+/// Each request deposits a fraction of a retry; each retry withdraws one.
 class RetryBudget {
  public:
-  /// @param ratio retries for each request, such as 0.1.
-  /// @param max_balance retries that are allowed without any request before, and the most that is
-  /// saved.
+  /// @param ratio retries per request, such as 0.1.
+  /// @param max_balance retries allowed initially, and the largest number that is saved.
   RetryBudget(double ratio, double max_balance)
       : ratio_(ratio), max_balance_(max_balance), balance_(max_balance) {}
 
--- a/src/core/roles/engine_controller.cpp
+++ b/src/core/roles/engine_controller.cpp
@@ -7,7 +7,7 @@
 namespace shuntbank {
 namespace {
 
-/// One engine in this many may be out for a change at once, and always one.
+/// One engine in this many may change at once, and at least one.
 constexpr std::size_t kEnginesPerChange = 4;
 
 Availability availability_of(ControlPhase phase, bool responsive) {
@@ -24,7 +24,7 @@
   return Availability::kServing;
 }
 
-/// @return whether the engine is in force what `desired` says.
+/// @return whether the engine has reached the state `desired`.
 bool is_applied(const EngineState& state, const DesiredState& desired) {
   return !state.change_in_progress && state.role == desired.role &&
          state.models == desired.models && state.desired == desired;
@@ -85,7 +85,7 @@
   if (control.phase == ControlPhase::kUnclaimed) return ClaimEngine{engine, fence_};
   if (!control.state) return ReadEngine{engine};
   if (auto command = act_on_state(now, engine, control)) return command;
-  // Nothing to order: look at the engine again, so that a crash or a lost order is noticed.
+  // Nothing to order: read the state again to detect a crash or a lost order.
   control.state.reset();
   return ReadEngine{engine};
 }
@@ -102,7 +102,7 @@
   if (is_applied(*control.state, wanted) || ordered) return std::nullopt;
   if (control.phase == ControlPhase::kChanging && control.state->change_in_progress)
     return std::nullopt;
-  // An engine without models serves nothing, so there is nothing to drain.
+  // An engine without models has no requests to drain.
   if (control.state->models.empty()) {
     control.phase = ControlPhase::kChanging;
     return make_order(engine, control, wanted);
@@ -122,7 +122,7 @@
                                                       Control& control) {
   const bool refusing = !control.state->desired.accepting;
   const DesiredState wanted = target_state(control);
-  // No new request can start once the engine holds the closing order, so zero active is final.
+  // A refusing engine starts no new request, so zero active requests is final.
   if (refusing && control.state->active == 0) {
     control.phase = ControlPhase::kChanging;
     return make_order(engine, control, wanted);
@@ -168,7 +168,7 @@
     return;
   }
   if (state.stamp.fence < fence_) {
-    // The engine restarted and forgot the claim: nothing ordered so far counts.
+    // The engine restarted and lost the claim; earlier orders are void.
     control.phase = ControlPhase::kUnclaimed;
     control.unconfirmed_order.reset();
     control.state.reset();
@@ -179,7 +179,7 @@
   counters_.order = std::max(counters_.order, state.stamp.sequence);
   if (control.phase == ControlPhase::kUnclaimed) {
     control.phase = state.change_in_progress ? ControlPhase::kChanging : ControlPhase::kSteady;
-    // A holder before refusing it for a drain; the drain goes on or is undone from its state.
+    // The previous lease holder started a drain, which continues here.
     if (!state.desired.accepting) control.phase = ControlPhase::kDraining;
     control.drain_started_at = now;
   }
--- a/src/core/roles/engine_controller.hpp
+++ b/src/core/roles/engine_controller.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Control of one service's engines under a fence: claim, read, drain, order, confirm.
-/// The driver carries out the returned commands and reports their results as events. Every order is
-/// stamped with the fence, and the driver asks for authority again right before it leaves.
+/// Control of one service's engines under a lease fence: claim, read, drain, order, confirm.
+/// The driver executes the returned commands and reports their results as events. Every order is
+/// stamped with the fence, and the driver checks the lease again right before it sends the order.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +19,13 @@
 
 namespace shuntbank {
 
-/// What an engine says of itself when its state is read.
+/// State that an engine reports.
 struct EngineState {
-  OrderStamp stamp;                      ///< Newest claim or order that it holds.
+  OrderStamp stamp;                      ///< Newest claim or order that it accepted.
   DesiredState desired;                  ///< As of that order.
-  EngineRole role = EngineRole::kMixed;  ///< In force now.
-  bool change_in_progress = false;       ///< A change of role or models is under way.
-  std::vector<ModelSpec> models;         ///< Loaded now.
+  EngineRole role = EngineRole::kMixed;  ///< Current role.
+  bool change_in_progress = false;       ///< Of role or models.
+  std::vector<ModelSpec> models;         ///< Currently loaded.
   std::uint32_t active = 0;              ///< Requests in flight, from all callers.
 };
 
@@ -35,7 +35,6 @@
   Fence fence = 0;
 };
 
-/// Send an order.
 struct SendOrder {
   EngineId engine;
   EngineOrder order;
@@ -48,51 +47,51 @@
 
 using ControlCommand = std::variant<ClaimEngine, SendOrder, ReadEngine>;
 
-/// Tunables of the control of engines.
+/// Timing and thresholds of the controller.
 struct ControllerSettings {
-  Duration read_interval = std::chrono::seconds(2);  ///< Of an engine at rest.
+  Duration read_interval = std::chrono::seconds(2);  ///< Of an engine in steady state.
   Duration change_read_interval = std::chrono::milliseconds(250);
-  Duration retry_delay = std::chrono::seconds(1);         ///< After a command without an answer.
-  Duration drain_retry_delay = std::chrono::seconds(20);  ///< After a drain that took too long.
-  std::uint32_t down_threshold = 3;                       ///< Commands without an answer in a row.
+  Duration retry_delay = std::chrono::seconds(1);         ///< After an unanswered command.
+  Duration drain_retry_delay = std::chrono::seconds(20);  ///< After a drain timed out.
+  std::uint32_t down_threshold = 3;                       ///< Consecutive unanswered commands.
 };
 
-/// Where one engine stands.
+/// Phase of the control of one engine.
 enum class ControlPhase {
-  kUnclaimed,  ///< Nothing was heard of it under this fence.
-  kSteady,     ///< It is what it should be.
-  kDraining,   ///< It refuses new requests until those in flight have ended.
+  kUnclaimed,  ///< The engine has not answered under this fence.
+  kSteady,     ///< No change is in progress.
+  kDraining,   ///< The engine finishes requests in flight and refuses new ones.
   kChanging,   ///< The change was ordered and is not yet confirmed.
 };
 
 /// @return the name of `phase` in logs and status.
 const char* to_text(ControlPhase phase);
 
-/// Numbers that only grow under one fence, over all engines of a service.
+/// Sequence numbers under one fence, shared by all engines of a service.
 struct ControlCounters {
   Sequence order = 0;
   std::uint32_t fact = 0;
 };
 
-/// Controls the engines of one service for as long as one fence is valid.
+/// Controls the engines of one service while one fence is valid.
 class EngineController {
  public:
-  /// @param counters of a controller before under the same fence, whose numbers must not be used
-  /// twice: an engine that crashed has forgotten them, and nodes would take new facts for old ones.
+  /// @param counters of an earlier controller under the same fence. Numbers must not be reused:
+  /// a crashed engine cannot report them, and nodes would discard new facts as old.
   EngineController(Fence fence, const ControllerSettings& settings,
                    const ControlCounters& counters = {});
 
-  /// Sets which engines there are and what each holds, from the configuration.
+  /// Sets the engines and the models of each, from the configuration.
   void configure(const std::vector<EngineId>& engines, const std::vector<ModelSpec>& models,
                  Duration drain_timeout);
 
-  /// Sets the role that an engine should have, from the planner.
+  /// Sets the role that the planner chose for an engine.
   void set_wanted_role(const EngineId& engine, EngineRole role);
 
-  /// @return commands to carry out now. At most one is outstanding for each engine.
+  /// @return commands to execute now. At most one is outstanding per engine.
   std::vector<ControlCommand> poll(MonotonicTime now);
 
-  /// The engine answered a claim or a read, or took an order.
+  /// The engine answered a claim or a read, or accepted an order.
   void on_state(MonotonicTime now, const EngineId& engine, const EngineState& state);
 
   /// The engine refused a claim or an order as stale: another holder has a higher fence.
@@ -101,24 +100,24 @@
   /// A command got no answer.
   void on_no_answer(MonotonicTime now, const EngineId& engine);
 
-  /// @return what all nodes should know of each engine whose state was confirmed.
+  /// @return the facts to publish to all nodes.
   std::vector<EngineFact> facts() const;
 
-  /// @return whether an engine refused this fence: the authority is lost.
+  /// @return whether an engine reported a higher fence, so that the lease is lost.
   bool superseded() const { return superseded_; }
 
   Fence fence() const { return fence_; }
 
-  /// @return the last numbers that were used.
+  /// @return the last numbers used.
   const ControlCounters& counters() const { return counters_; }
 
-  /// @return changes of role that were confirmed.
+  /// @return the number of confirmed role changes.
   std::uint64_t role_changes() const { return role_changes_; }
 
-  /// @return drains that were given up because they took too long.
+  /// @return the number of drains that timed out.
   std::uint64_t drain_timeouts() const { return drain_timeouts_; }
 
-  /// One engine's line in `status`.
+  /// State of one engine for `status`.
   struct EngineStatus {
     EngineId engine;
     ControlPhase phase;
@@ -132,11 +131,10 @@
   struct Control {
     ControlPhase phase = ControlPhase::kUnclaimed;
     std::optional<EngineState> state;
-    std::optional<EngineRole> last_stable_role;  ///< In force when the engine was last at rest.
+    std::optional<EngineRole> last_stable_role;  ///< Last role reported with no change in progress.
     EngineRole wanted_role = EngineRole::kMixed;
-    bool has_wanted_role = false;  ///< The planner has spoken; else the engine keeps its role.
-    std::optional<EngineOrder>
-        unconfirmed_order;  ///< Sent again as it is until the engine shows it.
+    bool has_wanted_role = false;                  ///< False: the engine keeps its role.
+    std::optional<EngineOrder> unconfirmed_order;  ///< Resent until the engine reports it.
     bool command_pending = false;
     MonotonicTime next_command_at{};
     MonotonicTime drain_started_at{};
--- a/src/core/roles/role_assignment.cpp
+++ b/src/core/roles/role_assignment.cpp
@@ -5,7 +5,7 @@
 namespace shuntbank {
 namespace {
 
-/// Share of the engines that prefill when a service is first split and no demand is known.
+/// One engine in this many prefills when a service is first split.
 constexpr std::uint32_t kInitialPrefillDivisor = 3;
 
 std::string describe(const RolePlan& plan) {
@@ -18,7 +18,7 @@
   return status.state ? status.state->active : 0;
 }
 
-/// Wants `count` engines of role `from` to become `to`, those with the least in flight first.
+/// Reassigns `count` engines of role `from` to `to`, those with the fewest active requests first.
 void reassign(std::vector<EngineController::EngineStatus> statuses, EngineRole from, EngineRole to,
               std::uint32_t count, RoleAssignment& assignment) {
   std::erase_if(statuses, [from](const auto& status) { return status.wanted_role != from; });
@@ -51,7 +51,7 @@
   }
   const std::uint32_t mixed = count_wanted(statuses, EngineRole::kMixed);
   if (mixed > 0) {
-    // A first split: the counts come from the demand where there is some.
+    // Initial split by a fixed ratio.
     const std::uint32_t current_prefill = count_wanted(statuses, EngineRole::kPrefill);
     const std::uint32_t wanted = std::max(1U, total / kInitialPrefillDivisor);
     const std::uint32_t missing = wanted > current_prefill ? wanted - current_prefill : 0;
--- a/src/core/roles/role_assignment.hpp
+++ b/src/core/roles/role_assignment.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Turns a plan of counts into wanted roles of single engines, where least is lost.
+/// Turns planned engine counts into roles of individual engines.
 #pragma once
 
 #include <string>
@@ -11,21 +11,20 @@
 
 namespace shuntbank {
 
-/// A role that one engine should have from now on.
+/// New role of one engine.
 struct WantedRole {
   EngineId engine;
   EngineRole role = EngineRole::kMixed;
 };
 
-/// Roles to change, and why.
+/// Roles to change, and the reason.
 struct RoleAssignment {
   std::vector<WantedRole> roles;
   std::string reason;
 };
 
-/// Compares the plan with what engines are and chooses those with the least work to change.
-/// @param statuses the engines as their controller knows them; those that do not answer are left
-/// out.
+/// Compares the plan with the current roles; changes the engines with the fewest active requests.
+/// @param statuses engines as known to the controller; unresponsive ones are ignored.
 RoleAssignment assign_roles(const RolePlanner& planner,
                             const std::vector<EngineController::EngineStatus>& statuses);
 
--- a/src/core/roles/role_planner.cpp
+++ b/src/core/roles/role_planner.cpp
@@ -6,10 +6,10 @@
 namespace shuntbank {
 namespace {
 
-/// Load above this share of an engine's speed makes waits long; a plan counts it as full.
+/// Queueing delay grows steeply above this utilization; a plan treats it as full.
 constexpr double kMaxUtilization = 0.85;
 
-/// The trend is followed only in part, since it is noisier than the level.
+/// Damps the trend, which is noisier than the level.
 constexpr double kTrendDamping = 0.5;
 
 double smooth(double before, double sample, double weight) {
@@ -80,8 +80,7 @@
     const std::uint32_t changes =
         prefill > current_prefill ? prefill - current_prefill : current_prefill - prefill;
     if (changes == 0) continue;
-    // Gains and costs are in engine-seconds of goodput: a share times the whole fleet times
-    // seconds.
+    // Gain and cost are in engine-seconds of goodput.
     const double gain = (served_share(prefill, decode, demand) - current_share) * engines * horizon;
     const double cost =
         changes * (to_seconds(settings_.change_duration) + settings_.role_change_cost);
--- a/src/core/routing/engine_facts.cpp
+++ b/src/core/routing/engine_facts.cpp
@@ -8,6 +8,7 @@
 namespace shuntbank {
 namespace {
 
+/// Sends of a fact for each doubling of the cluster size.
 constexpr int kSendsPerDoubling = 3;
 
 std::uint64_t digest_of(const EngineFact& fact) {
--- a/src/core/routing/engine_facts.hpp
+++ b/src/core/routing/engine_facts.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What controllers say of engines, spread between nodes like a rumour: each fact is sent a bounded
-/// number of times by each node that learns it.
+/// Engine facts published by controllers and spread between nodes by gossip: each node sends each
+/// fact a bounded number of times.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,17 @@
 /// The newest fact of each engine.
 class EngineFacts {
  public:
-  /// Takes over facts that are newer.
-  /// @param members size of the cluster, which decides how often each fact is sent on.
-  /// @return the facts that were new.
+  /// Replaces known facts by newer ones.
+  /// @param members size of the cluster, which determines how often each fact is forwarded.
+  /// @return the facts that were new or newer.
   std::vector<EngineFact> merge(const std::vector<EngineFact>& facts, std::size_t members);
 
-  /// @return facts to carry on the next message, those sent least first; counts them as sent.
+  /// @return facts for the next message, those sent least often first; counts them as sent.
   std::vector<EngineFact> facts_to_send(std::size_t max_count);
 
-  /// @return all facts.
   std::vector<EngineFact> all() const;
 
-  /// @return a digest that is equal where the same facts are known.
+  /// @return a digest that is equal on nodes with the same facts.
   std::uint64_t digest() const { return digest_; }
 
  private:
--- a/src/core/routing/engine_table.cpp
+++ b/src/core/routing/engine_table.cpp
@@ -52,7 +52,7 @@
 void EngineTable::apply(const EngineFact& fact) {
   EngineEntry* entry = find(fact.engine);
   if (entry == nullptr) return;
-  // A changed role empties the engine's cache.
+  // A role change clears the engine's cache.
   if (entry->role != fact.role) entry->cached_prefixes.clear();
   entry->role = fact.role;
   entry->availability = fact.availability;
--- a/src/core/routing/router.cpp
+++ b/src/core/routing/router.cpp
@@ -8,7 +8,7 @@
 namespace shuntbank {
 namespace {
 
-/// Prompt tokens for each cached block, at about four characters a token.
+/// Prompt tokens per cached block, at about four characters per token.
 constexpr double kTokensPerBlock = kPrefixBlockCharacters / 4.0;
 
 bool contains(const std::vector<EngineId>* list, const EngineId& engine) {
--- a/src/core/routing/router.hpp
+++ b/src/core/routing/router.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The choice of an engine for one request.
+/// Choice of an engine for one request.
 #pragma once
 
 #include <cstdint>
@@ -13,47 +13,46 @@
 
 namespace shuntbank {
 
-/// Ways of choosing that were weighed; docs/design holds the figures.
+/// How an engine is chosen.
 enum class RoutingStrategy {
   kRoundRobin,
   kLeastInFlight,
   kPowerOfTwoChoices,
-  kPrefixAffinity,  ///< Expected wait less expected cache hit over a few candidates. The default.
+  kPrefixAffinity,  ///< Lowest expected wait among a few candidates, given expected cache hits.
 };
 
-/// Speeds that the expected wait is worked out from. They need only be roughly right.
+/// Parameters of the expected wait; rough estimates suffice.
 struct RoutingSettings {
   RoutingStrategy strategy = RoutingStrategy::kPrefixAffinity;
   double prefill_tokens_per_second = 8000;
-  double wait_per_running_request = 0.004;  ///< Seconds that one more running request adds.
-  double cross_zone_penalty = 0.002;        ///< Seconds.
-  Duration report_half_life = std::chrono::seconds(2);  ///< An old report fades at this rate.
-  std::size_t affinity_candidates = 3;                  ///< Engines that a prefix is steered to.
-  std::size_t random_candidates = 2;                    ///< Engines that are looked at besides.
+  double wait_per_running_request = 0.004;              ///< Seconds per running request.
+  double cross_zone_penalty = 0.002;                    ///< Seconds.
+  Duration report_half_life = std::chrono::seconds(2);  ///< Half-life of the weight of a report.
+  std::size_t affinity_candidates = 3;  ///< Engines preferred for a prefix, by hash.
+  std::size_t random_candidates = 2;    ///< Additional engines, chosen at random.
 };
 
-/// A request as the router sees it.
+/// Routing input for one request.
 struct RouteQuery {
-  const std::vector<EngineId>* engines = nullptr;  ///< Engines of the service.
-  const std::vector<EngineId>* excluded_engines =
-      nullptr;  ///< Tried already; used only if none else is left.
+  const std::vector<EngineId>* engines = nullptr;           ///< Engines of the service.
+  const std::vector<EngineId>* excluded_engines = nullptr;  ///< Already tried; a last resort.
   const std::vector<std::uint64_t>* prefix = nullptr;  ///< Block hashes of the prompt; may be null.
   EngineRole wanted_role = EngineRole::kMixed;
-  bool any_role = true;  ///< Plain services: roles mean nothing.
+  bool any_role = true;  ///< For services without roles.
   std::uint64_t prompt_tokens = 0;
-  ZoneName zone;  ///< Where the node is.
+  ZoneName zone;  ///< Zone of this node.
 };
 
-/// Chooses engines. Not thread safe.
+/// Chooses engines. Not thread-safe.
 class Router {
  public:
   Router(const RoutingSettings& settings, std::uint64_t seed);
 
-  /// @return the engine to use, or nothing when none is eligible.
+  /// @return the chosen engine, or nothing when none is eligible.
   std::optional<EngineId> choose(MonotonicTime now, const EngineTable& table,
                                  const RouteQuery& query);
 
-  /// @return the expected seconds until the first token, for one engine.
+  /// @return the expected time to first token at an engine, in seconds.
   double expected_wait(MonotonicTime now, const EngineEntry& entry, const RouteQuery& query) const;
 
  private:
--- a/tests/core/requests/claims_test.cpp
+++ b/tests/core/requests/claims_test.cpp
@@ -16,8 +16,8 @@
   return {NodeId(name), 1, 1, {}, name, ZoneName("z" + std::to_string(index % 3)), RegionName("r")};
 }
 
-/// Six nodes, a store, and coordinators that may stop at any step and go on from what is stored.
-/// Every exchange may be lost on the way there or back; any node may restart and forget.
+/// Six nodes, a store, and coordinators that may stop at any step and resume from the stored
+/// record. Any request or answer may be lost; any node may restart and lose its state.
 struct Cluster {
   explicit Cluster(std::uint64_t seed) : random(seed) {
     for (int i = 0; i < 6; ++i) replicas.emplace_back(1, 10min, 1000);
@@ -28,7 +28,7 @@
     return replicas[static_cast<std::size_t>(node.value()[1] - '0')];
   }
 
-  /// One claim by a node that may know an old composition.
+  /// One claim by a node that may know an outdated membership.
   bool claim(const ClaimGroupRecord& known, const ClaimKey& key, const RequestId& claimant) {
     if (!known.stable) return false;
     ClaimVote vote(known.members.size());
@@ -71,7 +71,7 @@
                             grant_delay = takeover.grant_delay()] {
         return replica_of(target.node).install(now, view, target.boot, entries, grant_delay);
       };
-      // A message may also come much later, when the cluster has moved on.
+      // The message may also arrive much later, under another view.
       delayed_installs.push_back(install);
       if (!drop_message() && install() && !drop_message()) takeover.on_installed(target.node);
     }
@@ -89,7 +89,7 @@
 }  // namespace
 
 Test(claims, grants_a_key_to_at_most_one_request_across_group_changes) {
-  SHUNTBANK_PROPERTY("one claimant for each key", [] {
+  SHUNTBANK_PROPERTY("one claimant per key", [] {
     Cluster cluster(*rc::gen::arbitrary<std::uint64_t>());
     std::map<ClaimKey, RequestId> granted;
     std::vector<ClaimGroupRecord> known_records{cluster.stored};
@@ -171,5 +171,5 @@
   replica.seal({}, 3);
   cr_assert_eq(replica.claim({}, 2, ClaimKey("j"), RequestId("b")), ClaimVerdict::kUnavailable);
   cr_assert(!replica.install({}, 2, 1, {}));
-  cr_assert(!replica.install({}, 4, 2, {}), "meant for another process of this name");
+  cr_assert(!replica.install({}, 4, 2, {}), "installed for another incarnation");
 }
--- a/tests/core/requests/request_progress_test.cpp
+++ b/tests/core/requests/request_progress_test.cpp
@@ -22,10 +22,10 @@
 }
 
 Test(request_progress, holds_its_guarantees_under_random_failures) {
-  // The model: an attempt runs at the engine unless it failed before anything was sent or was
-  // refused. Whatever happens, a request that is not repeatable runs at most once, `not_run` is
-  // said only if nothing ran, and the delivered indices are 0, 1, 2, ... without a gap or a repeat.
-  SHUNTBANK_PROPERTY("at most once, true outcome, whole answer", [] {
+  // Model: an attempt runs at the engine unless nothing was sent or the engine refused it. A
+  // request that is not repeatable runs at most once, `not_run` is reported only if nothing ran,
+  // and the delivered indices are 0, 1, 2, ... without gaps or repeats.
+  SHUNTBANK_PROPERTY("at most one run, correct outcome, complete answer", [] {
     const bool repeatable = *rc::gen::arbitrary<bool>();
     RequestProgress progress(RequestId("r"), repeatable, *rc::gen::inRange(1U, 5U));
     int runs = 0;
--- a/tests/core/roles/engine_controller_test.cpp
+++ b/tests/core/roles/engine_controller_test.cpp
@@ -14,7 +14,7 @@
 
 const std::vector<ModelSpec> kModels{{"m", "1", {}}};
 
-/// Engines under one controller; commands may be lost on the way there or back.
+/// Engines under one controller; commands and answers may be lost.
 struct ControllerFixture {
   std::map<EngineId, EngineEmulator> engines;
   EngineController controller;
@@ -156,7 +156,7 @@
 }
 
 Test(engine_controller, reaches_every_role_despite_lost_messages_and_crashes) {
-  SHUNTBANK_PROPERTY("settles, and cuts nothing", [] {
+  SHUNTBANK_PROPERTY("reaches the wanted roles without interrupting requests", [] {
     ControllerFixture fixture(3);
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     bool network_healthy = false;
--- a/tests/core/routing/router_test.cpp
+++ b/tests/core/routing/router_test.cpp
@@ -44,7 +44,7 @@
 }  // namespace
 
 Test(router, never_chooses_an_engine_that_is_not_eligible) {
-  SHUNTBANK_PROPERTY("eligible or none, under every strategy", [] {
+  SHUNTBANK_PROPERTY("an eligible engine or none, for every strategy", [] {
     RouterFixture fixture(*rc::gen::inRange(1, 12));
     std::map<EngineId, bool> usable;
     for (const EngineId& engine : fixture.engines) {
@@ -92,7 +92,7 @@
   const EngineId first = *router.choose(fixture.now, fixture.table, query);
   fixture.table.find(first)->cached_prefixes.insert(blocks);
   cr_assert_eq(*router.choose(fixture.now, fixture.table, query), first);
-  // Bounded load: a hit is not worth any wait.
+  // A cache hit does not outweigh a long queue.
   fixture.table.find(first)->in_flight_prefill_tokens = 100'000;
   cr_assert_neq(*router.choose(fixture.now, fixture.table, query), first);
 }
