--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -6,7 +6,7 @@
 namespace shuntbank {
 namespace {
 
-tl::unexpected<std::string> not_an_address(std::string_view text) {
+tl::unexpected<std::string> invalid_address(std::string_view text) {
   return tl::make_unexpected("'" + std::string(text) +
                              "' is not an address of the form IP:PORT with an IP number");
 }
@@ -15,7 +15,7 @@
 
 tl::expected<asio::ip::tcp::endpoint, std::string> parse_endpoint(std::string_view text) {
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string_view::npos) return not_an_address(text);
+  if (colon == std::string_view::npos) return invalid_address(text);
   std::string_view host = text.substr(0, colon);
   if (host.size() >= 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
@@ -25,7 +25,7 @@
   std::uint16_t port = 0;
   const char* end = text.data() + text.size();
   const auto [rest, port_error] = std::from_chars(text.data() + colon + 1, end, port);
-  if (error || port_error != std::errc{} || rest != end) return not_an_address(text);
+  if (error || port_error != std::errc{} || rest != end) return invalid_address(text);
   return asio::ip::tcp::endpoint(address, port);
 }
 
--- a/src/net/frame_channel.cpp
+++ b/src/net/frame_channel.cpp
@@ -37,7 +37,7 @@
 
   asio::ip::tcp::socket& socket() { return socket_; }
 
-  void limit_time(Duration timeout) {
+  void restart_timeout(Duration timeout) {
     timer_.expires_after(timeout);
     timer_.async_wait([self = shared_from_this()](const std::error_code& error) {
       if (!error) self->close();
@@ -77,7 +77,7 @@
     asio::async_read(
         socket_, asio::buffer(incoming_),
         [self = shared_from_this()](const std::error_code& error, std::size_t received) {
-          return self->left_to_read(error, received);
+          return self->bytes_remaining(error, received);
         },
         [self = shared_from_this(), handler = std::move(handler)](const std::error_code& error,
                                                                   std::size_t) {
@@ -88,9 +88,9 @@
 
   /// Called whenever bytes have come. How long a frame takes is for its size and the link to say:
   /// one that is given up on its way and asked for again may never come.
-  std::size_t left_to_read(const std::error_code& error, std::size_t received) {
+  std::size_t bytes_remaining(const std::error_code& error, std::size_t received) {
     if (error) return 0;
-    limit_time(kAnswerSilence);
+    restart_timeout(kAnswerIdleTimeout);
     return incoming_.size() - received;
   }
 
@@ -131,7 +131,7 @@
  private:
   void serve(asio::ip::tcp::socket socket) {
     auto connection = std::make_shared<FrameConnection>(std::move(socket), max_frame_);
-    connection->limit_time(kServerTimeout);
+    connection->restart_timeout(kServerTimeout);
     connection->read([self = shared_from_this(), connection](auto frame) {
       if (!frame || self->closed_) return connection->close();
       self->handler_(std::move(*frame), [connection](const std::string& reply) {
@@ -165,7 +165,7 @@
                 std::size_t max_frame, Duration timeout,
                 std::function<void(tl::expected<std::string, std::string>)> handler) {
   auto connection = std::make_shared<FrameConnection>(asio::ip::tcp::socket(loop), max_frame);
-  connection->limit_time(timeout);
+  connection->restart_timeout(timeout);
   auto finish = [connection,
                  handler = std::move(handler)](tl::expected<std::string, std::string> result) {
     connection->close();
--- a/src/net/http1_client.cpp
+++ b/src/net/http1_client.cpp
@@ -215,7 +215,7 @@
 
   /// Bytes have come: the answer is under way.
   void arm_silence() {
-    const Duration silence = exchange_->request.answer_silence;
+    const Duration silence = exchange_->request.answer_idle_timeout;
     if (silence > Duration::zero()) arm(silence, "the answer broke off");
   }
 
@@ -267,7 +267,8 @@
     idle_timeout_ = told_idle_timeout(head.headers).value_or(client_->settings.idle_timeout);
     const bool interim = head.status < 200;
     const OutgoingRequest& request = exchange_->request;
-    const bool foreign = request.belongs && !request.belongs(head.status, head.headers);
+    const bool foreign =
+        request.accepts_answer && !request.accepts_answer(head.status, head.headers);
     skipping_ = interim || foreign;
     if (foreign && !interim) ++client_->stats.surplus_answers;
     if (skipping_) return;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -37,7 +37,7 @@
   TransferHandlers handlers;
   int status = 0;
   HttpHeaders headers;
-  bool headers_told = false;
+  bool headers_reported = false;
   bool connected = false;
   bool cancelled = false;
 
@@ -104,7 +104,7 @@
       if (self->closed_ || found == self->transfers_.end()) return;
       const std::shared_ptr<Transfer> transfer = found->second;
       curl_easy_pause(transfer->easy, CURLPAUSE_CONT);
-      self->act(CURL_SOCKET_TIMEOUT, 0);
+      self->socket_action(CURL_SOCKET_TIMEOUT, 0);
     });
   }
 
@@ -183,7 +183,7 @@
       long status = 0;
       curl_easy_getinfo(transfer.easy, CURLINFO_RESPONSE_CODE, &status);
       transfer.status = static_cast<int>(status);
-      if (status >= 200) tell_headers(transfer);
+      if (status >= 200) report_headers(transfer);
       return size * count;
     }
     const std::size_t colon = line.find(':');
@@ -194,9 +194,9 @@
     return size * count;
   }
 
-  static void tell_headers(Transfer& transfer) {
-    if (transfer.headers_told || transfer.cancelled) return;
-    transfer.headers_told = true;
+  static void report_headers(Transfer& transfer) {
+    if (transfer.headers_reported || transfer.cancelled) return;
+    transfer.headers_reported = true;
     if (transfer.handlers.on_headers)
       transfer.handlers.on_headers(transfer.status, transfer.headers);
   }
@@ -204,8 +204,8 @@
   static std::size_t on_body(char* bytes, std::size_t size, std::size_t count, void* data) {
     auto& transfer = *static_cast<Transfer*>(data);
     if (transfer.cancelled) return size * count;
-    const bool taken = transfer.handlers.on_data(std::string_view(bytes, size * count));
-    return taken ? size * count : CURL_WRITEFUNC_PAUSE;
+    const bool accepted = transfer.handlers.on_data(std::string_view(bytes, size * count));
+    return accepted ? size * count : CURL_WRITEFUNC_PAUSE;
   }
 
   static int on_socket(CURL*, curl_socket_t socket, int what, void* data, void*) {
@@ -255,9 +255,9 @@
         type, [self = shared_from_this(), watched, socket, type, event,
                generation = watched->generation](const std::error_code& error) {
           if (self->closed_ || watched->generation != generation) return;
-          self->act(socket, error ? CURL_CSELECT_ERR : event);
-          const bool same = !self->closed_ && watched->generation == generation;
-          if (same) self->wait_for(watched, socket, type, event);
+          self->socket_action(socket, error ? CURL_CSELECT_ERR : event);
+          const bool still_current = !self->closed_ && watched->generation == generation;
+          if (still_current) self->wait_for(watched, socket, type, event);
         });
   }
 
@@ -268,19 +268,19 @@
     timer_.expires_after(std::chrono::milliseconds(timeout_ms));
     timer_.async_wait([self = shared_from_this(), generation](const std::error_code& error) {
       if (error || self->closed_ || self->timer_generation_ != generation) return;
-      self->act(CURL_SOCKET_TIMEOUT, 0);
+      self->socket_action(CURL_SOCKET_TIMEOUT, 0);
     });
   }
 
-  void act(curl_socket_t socket, int event) {
+  void socket_action(curl_socket_t socket, int event) {
     int running = 0;
     curl_multi_socket_action(multi_, socket, event, &running);
     collect_finished();
   }
 
   void collect_finished() {
-    int left = 0;
-    while (CURLMsg* message = curl_multi_info_read(multi_, &left)) {
+    int messages_left = 0;
+    while (CURLMsg* message = curl_multi_info_read(multi_, &messages_left)) {
       if (message->msg != CURLMSG_DONE) continue;
       Transfer* raw = nullptr;
       curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &raw);
@@ -346,7 +346,7 @@
   };
   handlers.on_data = [reply, overflow,
                       on_progress = std::move(on_progress)](std::string_view piece) {
-    *overflow = *overflow || reply->body.size() + piece.size() > kMaxWholeReply;
+    *overflow = *overflow || reply->body.size() + piece.size() > kMaxFetchReplySize;
     if (!*overflow) reply->body += piece;
     if (on_progress) on_progress(reply->body.size());
     return true;
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -29,13 +29,13 @@
   /// Longest silence inside an answer that has begun, where `total_timeout` then ends no more: an
   /// answer may take as long as its size needs on the link. Zero: `total_timeout` bounds it all.
   /// Only `PooledHttpClient` heeds it.
-  Duration answer_silence = Duration::zero();
+  Duration answer_idle_timeout = Duration::zero();
   /// Never send on a reused connection. libcurl sends a request again by itself when a reused
   /// connection turns out to be dead; a request that may run only once must not risk that.
   bool fresh_connection = false;
   /// Whether an answer belongs to this request; one that does not is read and left out. Where it is
   /// not set, each answer belongs. Only `PooledHttpClient` heeds it.
-  std::function<bool(int status, const HttpHeaders& headers)> belongs;
+  std::function<bool(int status, const HttpHeaders& headers)> accepts_answer;
   /// Asked right before the first byte leaves, where a connection had to be made first: whether the
   /// request is still to be sent there. Where it is not set, it is. Only `PooledHttpClient` heeds
   /// it.
@@ -86,7 +86,7 @@
   /// Goes on with a paused transfer.
   virtual void resume(TransferId id) = 0;
 
-  /// Sends a request and collects a whole reply of at most `kMaxWholeReply` bytes.
+  /// Sends a request and collects a whole reply of at most `kMaxFetchReplySize` bytes.
   /// @param on_progress told the bytes of the body so far whenever some have come; may be empty.
   using FetchHandler = std::function<void(tl::expected<HttpReply, TransferError>)>;
   using ProgressHandler = std::function<void(std::size_t received)>;
@@ -111,6 +111,6 @@
 };
 
 /// Largest reply that `HttpClient::fetch` collects, in bytes.
-constexpr std::size_t kMaxWholeReply = 64UL << 20U;
+constexpr std::size_t kMaxFetchReplySize = 64UL << 20U;
 
 }  // namespace shuntbank
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -7,7 +7,7 @@
 namespace shuntbank {
 namespace {
 
-constexpr std::string_view kHopFields[] = {
+constexpr std::string_view kHopByHopFields[] = {
     "Connection", "Keep-Alive",        "Proxy-Connection", "TE",    "Trailer",
     "Upgrade",    "Transfer-Encoding", "Content-Length",   "Expect"};
 
@@ -56,7 +56,7 @@
   return {};
 }
 
-HttpHeaders without_hop_fields(HttpHeaders headers) {
+HttpHeaders without_hop_by_hop_fields(HttpHeaders headers) {
   std::string named(headers.get("Connection"));
   while (!named.empty()) {
     const std::size_t comma = std::min(named.find(','), named.size());
@@ -65,7 +65,7 @@
     std::erase_if(name, [](char c) { return c == ' ' || c == '\t'; });
     if (!name.empty()) headers.remove(name);
   }
-  for (const std::string_view name : kHopFields) headers.remove(name);
+  for (const std::string_view name : kHopByHopFields) headers.remove(name);
   return headers;
 }
 
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -61,7 +61,7 @@
 
 /// @return the fields without those that concern one connection only (RFC 9110, 7.6.1) and without
 /// framing, which each hop sets itself.
-HttpHeaders without_hop_fields(HttpHeaders headers);
+HttpHeaders without_hop_by_hop_fields(HttpHeaders headers);
 
 /// @return whether two names are equal without regard to ASCII case.
 bool equal_ignoring_case(std::string_view left, std::string_view right);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -15,7 +15,7 @@
 using StreamBuilder = restinio::response_builder_t<restinio::chunked_output_t>;
 
 /// RESTinio's own bound on one request's handling. Deadlines are kept by the handlers instead.
-constexpr std::chrono::hours kNoHandlingBound{24};
+constexpr std::chrono::hours kHandlingTimeout{24};
 
 /// Two, so that the connection is still read, and its end seen, while a request is handled.
 constexpr std::size_t kMaxPipelinedRequests = 2;
@@ -23,27 +23,27 @@
 class ResponderImpl;
 
 /// Tells responders when their connection has closed. RESTinio calls it for each connection.
-class ConnectionWatch {
+class ConnectionListener {
  public:
   void add(ConnectionId id, const std::shared_ptr<ResponderImpl>& responder) {
-    open_[id].push_back(responder);
+    open_responders_[id].push_back(responder);
   }
   void remove(ConnectionId id, const ResponderImpl* responder);
   void state_changed(const restinio::connection_state::notice_t& notice) noexcept;
 
  private:
-  std::unordered_map<ConnectionId, std::list<std::weak_ptr<ResponderImpl>>> open_;
+  std::unordered_map<ConnectionId, std::list<std::weak_ptr<ResponderImpl>>> open_responders_;
 };
 
 struct ServerTraits : restinio::default_single_thread_traits_t {
-  using connection_state_listener_t = ConnectionWatch;
+  using connection_state_listener_t = ConnectionListener;
   static constexpr bool use_connection_count_limiter = true;  // NOLINT: RESTinio's name
 };
 
 class ResponderImpl : public HttpResponder, public std::enable_shared_from_this<ResponderImpl> {
  public:
-  ResponderImpl(restinio::request_handle_t request, std::shared_ptr<ConnectionWatch> watch)
-      : request_(std::move(request)), watch_(std::move(watch)) {}
+  ResponderImpl(restinio::request_handle_t request, std::shared_ptr<ConnectionListener> listener)
+      : request_(std::move(request)), connection_listener_(std::move(listener)) {}
 
   ~ResponderImpl() override {
     if (!ended_ && !stream_) respond({500, {}, ""});
@@ -53,7 +53,7 @@
   ResponderImpl& operator=(const ResponderImpl&) = delete;
 
   void respond(HttpReply reply) override {
-    if (!end()) return;
+    if (!mark_ended()) return;
     auto response = request_->create_response(status_line(reply.status));
     for (const HttpHeader& field : reply.headers.fields()) {
       response.append_header(field.name, field.value);
@@ -71,27 +71,27 @@
 
   void write(std::string_view piece) override {
     if (ended_) return;
-    waiting_ += piece;
-    if (in_kernel_ == 0) flush();
+    buffered_ += piece;
+    if (in_flight_bytes_ == 0) flush();
   }
 
-  std::size_t pending_bytes() const override { return in_kernel_ + waiting_.size(); }
+  std::size_t pending_bytes() const override { return in_flight_bytes_ + buffered_.size(); }
 
-  void on_drained(std::function<void()> handler) override { drained_ = std::move(handler); }
+  void on_drained(std::function<void()> handler) override { drained_handler_ = std::move(handler); }
 
   void finish() override {
-    if (!end()) return;
-    if (!waiting_.empty()) stream_->append_chunk(std::exchange(waiting_, {}));
+    if (!mark_ended()) return;
+    if (!buffered_.empty()) stream_->append_chunk(std::exchange(buffered_, {}));
     stream_->done();
   }
 
-  void on_closed(std::function<void()> handler) override { closed_ = std::move(handler); }
+  void on_closed(std::function<void()> handler) override { closed_handler_ = std::move(handler); }
 
   /// The connection closed under an unfinished reply.
-  void connection_closed() {
+  void on_connection_closed() {
     if (std::exchange(ended_, true)) return;
-    drained_ = nullptr;
-    const auto handler = std::exchange(closed_, nullptr);
+    drained_handler_ = nullptr;
+    const auto handler = std::exchange(closed_handler_, nullptr);
     if (handler) handler();
   }
 
@@ -102,62 +102,63 @@
   }
 
   /// @return whether the reply was still open; it no longer is.
-  bool end() {
+  bool mark_ended() {
     if (std::exchange(ended_, true)) return false;
-    watch_->remove(request_->connection_id(), this);
-    closed_ = nullptr;
-    drained_ = nullptr;
+    connection_listener_->remove(request_->connection_id(), this);
+    closed_handler_ = nullptr;
+    drained_handler_ = nullptr;
     return true;
   }
 
   void flush() {
-    in_kernel_ = waiting_.size();
-    stream_->append_chunk(std::exchange(waiting_, {}));
+    in_flight_bytes_ = buffered_.size();
+    stream_->append_chunk(std::exchange(buffered_, {}));
     stream_->flush([weak = weak_from_this()](const std::error_code& error) {
       const auto self = weak.lock();
-      if (self) self->written(!error);
+      if (self) self->on_written(!error);
     });
   }
 
-  void written(bool taken) {
-    in_kernel_ = 0;
-    if (ended_ || !taken) return;
-    if (!waiting_.empty()) {
+  void on_written(bool success) {
+    in_flight_bytes_ = 0;
+    if (ended_ || !success) return;
+    if (!buffered_.empty()) {
       flush();
       return;
     }
-    const auto handler = drained_;
+    const auto handler = drained_handler_;
     if (handler) handler();
   }
 
   restinio::request_handle_t request_;
-  std::shared_ptr<ConnectionWatch> watch_;
+  std::shared_ptr<ConnectionListener> connection_listener_;
   std::optional<StreamBuilder> stream_;
-  std::string waiting_;        ///< Written here while the kernel still holds the piece before.
-  std::size_t in_kernel_ = 0;  ///< Bytes of the piece that is being handed over.
-  std::function<void()> drained_;
-  std::function<void()> closed_;
+  std::string buffered_;  ///< Written here while the kernel still holds the piece before.
+  std::size_t in_flight_bytes_ = 0;  ///< Bytes of the piece that is being handed over.
+  std::function<void()> drained_handler_;
+  std::function<void()> closed_handler_;
   bool ended_ = false;
 };
 
-void ConnectionWatch::remove(ConnectionId id, const ResponderImpl* responder) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return;
+void ConnectionListener::remove(ConnectionId id, const ResponderImpl* responder) {
+  const auto found = open_responders_.find(id);
+  if (found == open_responders_.end()) return;
   found->second.remove_if([responder](const std::weak_ptr<ResponderImpl>& entry) {
     const auto other = entry.lock();
     return !other || other.get() == responder;
   });
-  if (found->second.empty()) open_.erase(found);
+  if (found->second.empty()) open_responders_.erase(found);
 }
 
-void ConnectionWatch::state_changed(const restinio::connection_state::notice_t& notice) noexcept {
+void ConnectionListener::state_changed(
+    const restinio::connection_state::notice_t& notice) noexcept {
   if (!restinio::holds_alternative<restinio::connection_state::closed_t>(notice.cause())) return;
-  const auto found = open_.find(notice.connection_id());
-  if (found == open_.end()) return;
+  const auto found = open_responders_.find(notice.connection_id());
+  if (found == open_responders_.end()) return;
   const auto responders = std::move(found->second);
-  open_.erase(found);
+  open_responders_.erase(found);
   for (const auto& entry : responders) {
-    if (const auto responder = entry.lock()) responder->connection_closed();
+    if (const auto responder = entry.lock()) responder->on_connection_closed();
   }
 }
 
@@ -179,7 +180,7 @@
 class HttpServer::Impl {
  public:
   Impl(asio::io_context& loop, const HttpServerSettings& settings, HttpHandler handler)
-      : watch_(std::make_shared<ConnectionWatch>()),
+      : connection_listener_(std::make_shared<ConnectionListener>()),
         server_(restinio::external_io_context(loop), [&](auto& restinio_settings) {
           configure(restinio_settings, settings, std::move(handler));
         }) {
@@ -207,10 +208,10 @@
         .buffer_size(8UL << 10U)
         .read_next_http_message_timelimit(settings.idle_timeout)
         .write_http_response_timelimit(settings.write_timeout)
-        .handle_request_timeout(kNoHandlingBound)
+        .handle_request_timeout(kHandlingTimeout)
         .max_pipelined_requests(kMaxPipelinedRequests)
         .max_parallel_connections(settings.max_connections)
-        .connection_state_listener(watch_)
+        .connection_state_listener(connection_listener_)
         .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}
                                       .max_url_size(settings.max_header_value)
                                       .max_field_name_size(settings.max_header_value)
@@ -224,14 +225,14 @@
         })
         .request_handler(
             [this, handler = std::move(handler)](const restinio::request_handle_t& received) {
-              auto responder = std::make_shared<ResponderImpl>(received, watch_);
-              watch_->add(received->connection_id(), responder);
+              auto responder = std::make_shared<ResponderImpl>(received, connection_listener_);
+              connection_listener_->add(received->connection_id(), responder);
               handler(to_request(*received), responder);
               return restinio::request_accepted();
             });
   }
 
-  std::shared_ptr<ConnectionWatch> watch_;
+  std::shared_ptr<ConnectionListener> connection_listener_;
   asio::ip::tcp::endpoint local_endpoint_;
   restinio::http_server_t<ServerTraits> server_;
   bool closed_ = false;
--- a/src/relay/catalog.cpp
+++ b/src/relay/catalog.cpp
@@ -30,7 +30,7 @@
   };
   configuration.on_change = [this](const store::ObjectChange& change) {
     // Without a configuration the last one serves on.
-    if (!change.gone) take_configuration(change.object);
+    if (!change.deleted) take_configuration(change.object);
   };
   store::KindWatchHandlers engines;
   engines.on_list = [this](const store::ObjectList& list) { take_engines(list); };
@@ -56,10 +56,10 @@
                                       settings_.longest_backoff);
   for (const auto& watch : {configuration_.get(), engines_.get()}) {
     watch->set_wait(wait);
-    watch->set_longest_backoff(backoff);
+    watch->set_max_backoff(backoff);
   }
-  engines_->set_gather(std::clamp(settings_.gather_a_node * nodes, settings_.shortest_gather,
-                                  settings_.longest_gather));
+  engines_->set_batch_delay(std::clamp(settings_.gather_a_node * nodes, settings_.shortest_gather,
+                                       settings_.longest_gather));
 }
 
 StoreProgress Catalog::progress() const {
@@ -189,7 +189,7 @@
 }
 
 void Catalog::take_engine_change(const store::ObjectChange& change) {
-  if (change.gone) return node_.remove_engine(change.object.name);
+  if (change.deleted) return node_.remove_engine(change.object.name);
   const auto record = codec_.engine(change.object);
   if (!record) {
     log_malformed(change.object, record.error());
--- a/src/relay/peer_directory.cpp
+++ b/src/relay/peer_directory.cpp
@@ -15,7 +15,7 @@
 store::KindWatchSettings watch_settings() {
   store::KindWatchSettings settings;
   settings.wait = std::chrono::seconds(12);
-  settings.longest_backoff = std::chrono::seconds(4);
+  settings.max_backoff = std::chrono::seconds(4);
   // Late news of nodes cost nothing either.
   settings.freshness = store::Freshness::kMayLag;
   settings.confirm_first_list = false;
@@ -89,7 +89,7 @@
     this->changed();
   };
   handlers.on_change = [this](const store::ObjectChange& change) {
-    if (!change.gone) {
+    if (!change.deleted) {
       this->take(change.object);
     } else if (change.object.name != this->self.value()) {
       this->records.erase(NodeId(change.object.name));
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -71,7 +71,7 @@
   }
   if (service_ != nullptr && service_->model) prompt_ = context_.dialect.prompt(request_.headers);
   for (const std::string& name : names.from_callers_removed) request_.headers.remove(name);
-  request_.headers = without_hop_fields(std::move(request_.headers));
+  request_.headers = without_hop_by_hop_fields(std::move(request_.headers));
   request_.headers.remove(names.deadline_ms);
   const auto resumed = whole_number(request_.headers.get(names.last_event_id));
   if (resumed && *resumed >= 0) stream_.resume_behind(static_cast<std::uint64_t>(*resumed));
@@ -201,7 +201,7 @@
     return !context.engines.notices().wants_none(now, engine) &&
            context.permits.may_send(engine, permit);
   };
-  outgoing.belongs = [weak = weak_from_this()](int, const HttpHeaders& headers) {
+  outgoing.accepts_answer = [weak = weak_from_this()](int, const HttpHeaders& headers) {
     const auto self = weak.lock();
     return !self || self->belongs(headers);
   };
--- a/src/relay/relay_session_answer.cpp
+++ b/src/relay/relay_session_answer.cpp
@@ -141,7 +141,7 @@
 }
 
 HttpHeaders RelaySession::forwarded_answer_fields() const {
-  HttpHeaders fields = without_hop_fields(headers_);
+  HttpHeaders fields = without_hop_by_hop_fields(headers_);
   for (const std::string& name : context_.dialect.names().from_engines_removed) fields.remove(name);
   return fields;
 }
--- a/src/store/kind_watch.cpp
+++ b/src/store/kind_watch.cpp
@@ -49,7 +49,7 @@
         kind_(std::move(kind)),
         settings_(settings),
         handlers_(std::move(handlers)),
-        backoff_(settings.first_backoff),
+        backoff_(settings.initial_backoff),
         hint_grace_(settings.hint_grace),
         list_timeout_(settings.list_timeout),
         wait_(settings.wait),
@@ -59,48 +59,49 @@
   void list() { list(freshness_); }
 
   void list(Freshness freshness) {
-    listing_ = freshness;
+    list_freshness_ = freshness;
     const std::uint64_t number = begin_call(CallKind::kList);
-    call_ =
-        store_.list(kind_, listing_, list_timeout_, [weak = weak_from_this(), number](auto list) {
-          const auto self = weak.lock();
-          if (self && self->is_under_way(number)) self->on_list(std::move(list));
-        });
+    call_id_ = store_.list(kind_, list_freshness_, list_timeout_,
+                           [weak = weak_from_this(), number](auto list) {
+                             const auto self = weak.lock();
+                             if (self && self->is_current_call(number))
+                               self->on_list(std::move(list));
+                           });
   }
 
   void stop() { stopped_ = true; }
 
   void hint(std::uint64_t revision) {
-    hinted_ = std::max(hinted_, revision);
-    if (hint_timer_ || !listed_ || !behind_others()) return;
-    if (under_way_ == CallKind::kWatch) return await_hinted();
+    hinted_revision_ = std::max(hinted_revision_, revision);
+    if (hint_timer_ || !listed_ || !behind_hint()) return;
+    if (call_kind_ == CallKind::kWatch) return start_hint_timer();
     // A list under way brings what is new.
-    if (under_way_ == CallKind::kNone && lost) hurry();
+    if (call_kind_ == CallKind::kNone && lost) expedite_retry();
   }
 
   void advance(std::uint64_t revision) {
     if (revision <= revision_ || !listed_) return;
     revision_ = revision;
     newest_change = std::max(newest_change, revision);
-    if (under_way_ == CallKind::kNone || behind_others()) return;
+    if (call_kind_ == CallKind::kNone || behind_hint()) return;
     // It would bring what is here already, and callers can have the link for that.
-    give_up();
-    call_after(settings_.gather, [](Impl& self) { self.next(); });
+    cancel_call();
+    schedule(settings_.batch_delay, [](Impl& self) { self.start_next_call(); });
   }
 
-  bool receiving() const { return under_way_ != CallKind::kNone && store_.received(call_) > 0; }
+  bool receiving() const { return call_kind_ != CallKind::kNone && store_.received(call_id_) > 0; }
 
   void set_wait(Duration wait) { wait_ = wait; }
-  void set_gather(Duration gather) { settings_.gather = gather; }
-  void set_longest_backoff(Duration backoff) { settings_.longest_backoff = backoff; }
+  void set_batch_delay(Duration batch_delay) { settings_.batch_delay = batch_delay; }
+  void set_max_backoff(Duration backoff) { settings_.max_backoff = backoff; }
 
   void set_freshness(Freshness freshness) {
     if (std::exchange(freshness_, freshness) == freshness) return;
     log_event(LogArea::kPlatform, LogLevel::kInfo, "store_reading",
               {{"kind", kind_}, {"freshness", to_text(freshness)}});
-    if (freshness != Freshness::kLatest || under_way_ != CallKind::kWatch || receiving()) return;
+    if (freshness != Freshness::kLatest || call_kind_ != CallKind::kWatch || receiving()) return;
     // Nobody else looks any more: what the call under way may miss is asked for now.
-    give_up();
+    cancel_call();
     watch();
   }
 
@@ -115,68 +116,68 @@
   /// @return the number by which the call that is begun now is known to its handler.
   std::uint64_t begin_call(CallKind kind) {
     // Two answers on one link come later than one, and the first would be thrown away.
-    if (under_way_ != CallKind::kNone) give_up();
-    under_way_ = kind;
-    hurried_ = false;
-    asked_at_ = runtime_.now();
-    return ++calls_;
+    if (call_kind_ != CallKind::kNone) cancel_call();
+    call_kind_ = kind;
+    retry_expedited_ = false;
+    call_started_at_ = runtime_.now();
+    return ++call_number_;
   }
 
-  bool is_under_way(std::uint64_t number) const {
-    return !stopped_ && under_way_ != CallKind::kNone && number == calls_;
+  bool is_current_call(std::uint64_t number) const {
+    return !stopped_ && call_kind_ != CallKind::kNone && number == call_number_;
   }
 
   /// The link carries nothing more of an answer that nobody waits for.
-  void give_up() {
-    store_.cancel(call_);
-    under_way_ = CallKind::kNone;
+  void cancel_call() {
+    store_.cancel(call_id_);
+    call_kind_ = CallKind::kNone;
   }
 
-  bool behind_others() const { return hinted_ > revision_; }
+  bool behind_hint() const { return hinted_revision_ > revision_; }
 
   /// The call that suits what is known.
-  void next() {
+  void start_next_call() {
     if (!listed_) return list();
     // All changes since would come one by one, each as large as the state that is asked for.
-    if (settings_.newest_only && (behind_others() || missed_some_)) {
+    if (settings_.newest_only && (behind_hint() || falling_behind_)) {
       return list(Freshness::kLatest);
     }
     watch();
   }
 
   void on_list(tl::expected<ObjectList, StoreError> list) {
-    under_way_ = CallKind::kNone;
+    call_kind_ = CallKind::kNone;
     if (!list) {
-      const bool late = list.error() == StoreError::kUncertain;
-      if (late) list_timeout_ = std::min(2 * list_timeout_, settings_.longest_list_timeout);
+      const bool timed_out = list.error() == StoreError::kUncertain;
+      if (timed_out) list_timeout_ = std::min(2 * list_timeout_, settings_.max_list_timeout);
       return retry("list", list.error());
     }
-    regained(listing_);
-    const bool catches_up = std::exchange(listed_, true);
-    const bool confirm = listing_ == Freshness::kMayLag && confirm_lists_;
+    on_success(list_freshness_);
+    const bool was_listed = std::exchange(listed_, true);
+    const bool confirm = list_freshness_ == Freshness::kMayLag && confirm_lists_;
     confirm_lists_ = true;
     if (confirm) {
       // The list may be older than what is known here. It is taken once the store has said what
       // came after it.
-      unconfirmed_ = std::move(*list);
+      unconfirmed_list_ = std::move(*list);
       return watch();
     }
-    take_list(*list);
-    if (!catches_up) return watch();
-    pause_after(list->transfer);
+    apply_list(*list);
+    if (!was_listed) return watch();
+    schedule_next_call(list->transfer_time);
   }
 
-  void take_list(const ObjectList& list) {
+  void apply_list(const ObjectList& list) {
     const std::uint64_t before = newest_change;
     revision_ = std::max(revision_, list.revision);
-    for (const StoredObject& object : list.objects) note_change(object);
+    for (const StoredObject& object : list.objects) record_change(object);
     // As long as each state is another one, there is a newer one by now.
-    missed_some_ = missed_some_ && newest_change > before;
+    falling_behind_ = falling_behind_ && newest_change > before;
     log_event(LogArea::kPlatform, LogLevel::kInfo, "kind_listed",
               {{"kind", kind_},
                {"objects", list.objects.size()},
                {"revision", revision_},
-               {"transfer_ms", whole_ms(list.transfer)}});
+               {"transfer_ms", whole_ms(list.transfer_time)}});
     handlers_.on_list(list);
   }
 
@@ -185,25 +186,25 @@
   void watch(Freshness freshness) {
     if (stopped_) return;
     const std::uint64_t number = begin_call(CallKind::kWatch);
-    asked_ = unconfirmed_ ? Freshness::kLatest : freshness;
-    if (behind_others() && !hint_timer_) await_hinted();
-    const std::uint64_t revision = unconfirmed_ ? unconfirmed_->revision : revision_;
-    const Duration wait = unconfirmed_ ? kNoWait : jittered(wait_, kWaitSpread);
-    call_ = store_.watch(kind_, revision, asked_, wait, wait + settings_.wait_slack,
-                         [weak = weak_from_this(), number](const auto& batch) {
-                           const auto self = weak.lock();
-                           if (self && self->is_under_way(number)) self->on_batch(batch);
-                         });
+    watch_freshness_ = unconfirmed_list_ ? Freshness::kLatest : freshness;
+    if (behind_hint() && !hint_timer_) start_hint_timer();
+    const std::uint64_t revision = unconfirmed_list_ ? unconfirmed_list_->revision : revision_;
+    const Duration wait = unconfirmed_list_ ? kNoWait : jittered(wait_, kWaitSpread);
+    call_id_ = store_.watch(kind_, revision, watch_freshness_, wait, wait + settings_.wait_slack,
+                            [weak = weak_from_this(), number](const auto& batch) {
+                              const auto self = weak.lock();
+                              if (self && self->is_current_call(number)) self->on_batch(batch);
+                            });
   }
 
   /// The store answers others: there is no reason to wait any longer.
-  void hurry() {
-    if (std::exchange(hurried_, true)) return;
-    call_after(settings_.first_backoff, [](Impl& self) { self.next(); });
+  void expedite_retry() {
+    if (std::exchange(retry_expedited_, true)) return;
+    schedule(settings_.initial_backoff, [](Impl& self) { self.start_next_call(); });
   }
 
   /// What others have seen should come here soon as well.
-  void await_hinted() {
+  void start_hint_timer() {
     hint_timer_ = runtime_.after(hint_grace_, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->check_hint();
     });
@@ -211,83 +212,85 @@
 
   void check_hint() {
     hint_timer_.reset();
-    if (stopped_ || under_way_ != CallKind::kWatch || !behind_others()) return;
+    if (stopped_ || call_kind_ != CallKind::kWatch || !behind_hint()) return;
     // What is on its way fills the link whether it is taken or not. Giving it up for what is newer
     // could go on for ever, each answer being longer than the one before.
     if (receiving()) return;
     log_event(LogArea::kPlatform, LogLevel::kWarning, "watch_deaf",
               {{"kind", kind_},
                {"revision", revision_},
-               {"others_have", hinted_},
-               {"under_way_ms", whole_ms(runtime_.now() - asked_at_)}});
-    give_up();
-    hint_grace_ = std::min(2 * hint_grace_, settings_.longest_hint_grace);
-    if (settings_.newest_only && !unconfirmed_) return next();
+               {"others_have", hinted_revision_},
+               {"under_way_ms", whole_ms(runtime_.now() - call_started_at_)}});
+    cancel_call();
+    hint_grace_ = std::min(2 * hint_grace_, settings_.max_hint_grace);
+    if (settings_.newest_only && !unconfirmed_list_) return start_next_call();
     watch(Freshness::kLatest);
   }
 
-  void note_change(const StoredObject& object) {
+  void record_change(const StoredObject& object) {
     newest_change = std::max(newest_change, object.revision);
   }
 
   void on_batch(const tl::expected<ChangeBatch, StoreError>& batch) {
-    under_way_ = CallKind::kNone;
+    call_kind_ = CallKind::kNone;
     if (!batch && batch.error() == StoreError::kHistoryGone) {
       log_event(LogArea::kPlatform, LogLevel::kWarning, "history_gone",
                 {{"kind", kind_}, {"revision", revision_}});
       listed_ = false;
       // A list so old that nobody knows what came after it is of no use a second time.
-      const bool too_old = std::exchange(unconfirmed_, std::nullopt).has_value();
+      const bool too_old = std::exchange(unconfirmed_list_, std::nullopt).has_value();
       return list(too_old ? Freshness::kLatest : freshness_);
     }
     if (!batch) return retry("watch", batch.error());
-    regained(asked_);
-    if (unconfirmed_) take_list(*std::exchange(unconfirmed_, std::nullopt));
+    on_success(watch_freshness_);
+    if (unconfirmed_list_) apply_list(*std::exchange(unconfirmed_list_, std::nullopt));
     for (const ObjectChange& change : batch->changes) {
       if (stopped_) return;
-      note_change(change.object);
+      record_change(change.object);
       handlers_.on_change(change);
     }
     revision_ = std::max(revision_, batch->revision);
-    if (batch->changes.empty()) return next();
+    if (batch->changes.empty()) return start_next_call();
     // Changes come faster than they are read: there are more by now.
-    missed_some_ = batch->changes.size() > 1;
-    pause_after(batch->transfer);
+    falling_behind_ = batch->changes.size() > 1;
+    schedule_next_call(batch->transfer_time);
   }
 
   /// Changes that come close together share a call, and callers get their part of the link.
-  void pause_after(Duration transfer) {
-    const Duration wanted = from_seconds(settings_.pause_a_transfer * to_seconds(transfer));
-    const Duration pause = std::max(settings_.gather, std::min(wanted, settings_.longest_pause));
-    call_after(pause, [](Impl& self) { self.next(); });
+  void schedule_next_call(Duration transfer_time) {
+    const Duration transfer_pause =
+        from_seconds(settings_.pause_per_transfer_time * to_seconds(transfer_time));
+    const Duration pause =
+        std::max(settings_.batch_delay, std::min(transfer_pause, settings_.max_pause));
+    schedule(pause, [](Impl& self) { self.start_next_call(); });
   }
 
-  void call_after(Duration delay, void (*step)(Impl&)) {
+  void schedule(Duration delay, void (*step)(Impl&)) {
     timer_ = runtime_.after(delay, [weak = weak_from_this(), step] {
       const auto self = weak.lock();
       if (self && !self->stopped_) step(*self);
     });
   }
 
-  void regained(Freshness answered) {
+  void on_success(Freshness freshness) {
     confirmed_at = runtime_.now();
-    if (answered == Freshness::kLatest) confirmed_latest_at = confirmed_at;
-    backoff_ = settings_.first_backoff;
+    if (freshness == Freshness::kLatest) confirmed_latest_at = confirmed_at;
+    backoff_ = settings_.initial_backoff;
     hint_grace_ = settings_.hint_grace;
     list_timeout_ = settings_.list_timeout;
     if (!std::exchange(lost, false)) return;
     log_event(LogArea::kPlatform, LogLevel::kInfo, "store_regained", {{"kind", kind_}});
   }
 
-  void retry(const char* call, StoreError error) {
+  void retry(const char* call_name, StoreError error) {
     if (!std::exchange(lost, true)) {
       log_event(LogArea::kPlatform, LogLevel::kWarning, "store_lost",
-                {{"kind", kind_}, {"call", call}, {"error", to_text(error)}});
+                {{"kind", kind_}, {"call", call_name}, {"error", to_text(error)}});
     }
     // Jitter keeps the nodes apart after an outage that met all of them.
     const Duration delay = jittered(backoff_, kBackoffSpread);
-    backoff_ = std::min(backoff_ * 2, settings_.longest_backoff);
-    call_after(delay, [](Impl& self) { self.next(); });
+    backoff_ = std::min(backoff_ * 2, settings_.max_backoff);
+    schedule(delay, [](Impl& self) { self.start_next_call(); });
   }
 
   /// @return `duration` times a random factor from 1 - spread to 1 + spread.
@@ -308,18 +311,18 @@
   std::unique_ptr<Timer> hint_timer_;
   Duration wait_;
   Freshness freshness_;
-  Freshness listing_ = Freshness::kLatest;  ///< Of the list under way.
-  Freshness asked_ = Freshness::kLatest;    ///< Of the watch under way.
+  Freshness list_freshness_ = Freshness::kLatest;   ///< Of the list under way.
+  Freshness watch_freshness_ = Freshness::kLatest;  ///< Of the watch under way.
   bool confirm_lists_;
-  std::optional<ObjectList> unconfirmed_;  ///< Waits for the store to say what came after it.
+  std::optional<ObjectList> unconfirmed_list_;  ///< Waits for the store to say what came after it.
   std::uint64_t revision_ = 0;
-  std::uint64_t hinted_ = 0;  ///< Newest change that others have told of.
-  std::uint64_t calls_ = 0;   ///< Lists and watches so far.
-  CallKind under_way_ = CallKind::kNone;
-  CallId call_ = 0;           ///< The call under way, as the store names it.
-  MonotonicTime asked_at_{};  ///< When it was begun.
-  bool missed_some_ = false;  ///< Changes come faster than they are read.
-  bool hurried_ = false;      ///< The next call after a failure was brought forward.
+  std::uint64_t hinted_revision_ = 0;  ///< Newest change that others have told of.
+  std::uint64_t call_number_ = 0;      ///< Lists and watches so far.
+  CallKind call_kind_ = CallKind::kNone;
+  CallId call_id_ = 0;               ///< The call under way, as the store names it.
+  MonotonicTime call_started_at_{};  ///< When it was begun.
+  bool falling_behind_ = false;      ///< Changes come faster than they are read.
+  bool retry_expedited_ = false;     ///< The next call after a failure was brought forward.
   bool listed_ = false;
   bool stopped_ = false;
 };
@@ -351,12 +354,12 @@
   impl_->set_wait(wait);
 }
 
-void KindWatch::set_gather(Duration gather) {
-  impl_->set_gather(gather);
+void KindWatch::set_batch_delay(Duration batch_delay) {
+  impl_->set_batch_delay(batch_delay);
 }
 
-void KindWatch::set_longest_backoff(Duration backoff) {
-  impl_->set_longest_backoff(backoff);
+void KindWatch::set_max_backoff(Duration backoff) {
+  impl_->set_max_backoff(backoff);
 }
 
 void KindWatch::set_freshness(Freshness freshness) {
--- a/src/store/kind_watch.hpp
+++ b/src/store/kind_watch.hpp
@@ -17,27 +17,27 @@
   Duration wait = std::chrono::seconds(3);  ///< Longest wait of one call; finds a silent store.
   Duration wait_slack = std::chrono::milliseconds(700);  ///< Behind `wait`, until the call fails.
   /// Behind a batch with changes, until the next call: changes that come close together share one.
-  Duration gather = std::chrono::milliseconds(300);
+  Duration batch_delay = std::chrono::milliseconds(300);
   /// The answer to a call must have begun within this time after somebody else has seen a change,
   /// or else the call is taken for lost. Twice as long after each call that was given up, so that a
   /// store which answers later than this is heard as well.
   Duration hint_grace = std::chrono::milliseconds(500);
-  Duration longest_hint_grace = std::chrono::seconds(4);
+  Duration max_hint_grace = std::chrono::seconds(4);
   /// Only the newest state matters, and it is no larger than a change: a watch that is behind reads
   /// the state instead of all that led to it.
   bool newest_only = false;
   /// Behind an answer, times what its bytes took: with the answer itself, a third of a link is the
   /// most that a watch takes from callers while changes keep coming.
-  double pause_a_transfer = 2;
+  double pause_per_transfer_time = 2;
   /// At most so long behind an answer, or else changes would come into force too late.
-  Duration longest_pause = std::chrono::milliseconds(800);
+  Duration max_pause = std::chrono::milliseconds(800);
   /// A list must have begun within this time. Twice as long after each that had not, up to the
   /// longest: a store that is slower for the work of such lists must not do it for nothing. The
   /// longest is what is lost where a store was silent and never answers the calls of that time.
   Duration list_timeout = std::chrono::milliseconds(1500);
-  Duration longest_list_timeout = std::chrono::seconds(3);
-  Duration first_backoff = std::chrono::milliseconds(50);
-  Duration longest_backoff = std::chrono::milliseconds(800);
+  Duration max_list_timeout = std::chrono::seconds(3);
+  Duration initial_backoff = std::chrono::milliseconds(50);
+  Duration max_backoff = std::chrono::milliseconds(800);
   Freshness freshness = Freshness::kLatest;  ///< Of lists and watches until told otherwise.
   /// A first list that may lag is handed on only with what came after it. Not needed where no
   /// harm comes from old news.
@@ -73,10 +73,10 @@
   void set_wait(Duration wait);
 
   /// Sets how long changes are gathered from the next batch on.
-  void set_gather(Duration gather);
+  void set_batch_delay(Duration batch_delay);
 
   /// Sets the longest pause between calls that fail.
-  void set_longest_backoff(Duration backoff);
+  void set_max_backoff(Duration backoff);
 
   /// Sets how fresh the answers of the calls that follow must be. Where others read the latest and
   /// give hints, a watch may lag: a hint of something newer makes it ask for the latest.
--- a/src/store/object_store.hpp
+++ b/src/store/object_store.hpp
@@ -24,20 +24,20 @@
 struct ObjectList {
   std::vector<StoredObject> objects;
   std::uint64_t revision = 0;
-  Duration transfer{};  ///< From its first byte to its last.
+  Duration transfer_time{};  ///< From its first byte to its last.
 };
 
 /// One change of an object.
 struct ObjectChange {
   StoredObject object;
-  bool gone = false;
+  bool deleted = false;
 };
 
 /// Changes in their order, up to a revision of the store.
 struct ChangeBatch {
   std::vector<ObjectChange> changes;
   std::uint64_t revision = 0;
-  Duration transfer{};  ///< From its first byte to its last.
+  Duration transfer_time{};  ///< From its first byte to its last.
 };
 
 /// Why a call brought nothing.
--- a/tests/net/http1_edges_test.cpp
+++ b/tests/net/http1_edges_test.cpp
@@ -163,7 +163,9 @@
   OutgoingRequest request;
   request.method = "POST";
   request.url = url;
-  request.belongs = [id](int, const HttpHeaders& headers) { return headers.get("id") == id; };
+  request.accepts_answer = [id](int, const HttpHeaders& headers) {
+    return headers.get("id") == id;
+  };
   return request;
 }
 
@@ -462,7 +464,7 @@
   OutgoingRequest request;
   request.url = "http://" + server.address() + "/";
   request.total_timeout = 1s;
-  request.answer_silence = silence;
+  request.answer_idle_timeout = silence;
   tl::expected<std::string, std::string> result;
   client.fetch(std::move(request), [&](const auto& reply) {
     if (reply) {
--- a/tests/net/http_client_test.cpp
+++ b/tests/net/http_client_test.cpp
@@ -20,7 +20,7 @@
   }
 
   std::string url() const { return "http://" + format_endpoint(acceptor_.local_endpoint()) + "/"; }
-  int received = 0;
+  int received_requests = 0;
 
  private:
   void accept() {
@@ -31,14 +31,14 @@
     });
   }
 
-  void read(const std::shared_ptr<asio::ip::tcp::socket>& socket, int served) {
+  void read(const std::shared_ptr<asio::ip::tcp::socket>& socket, int answered) {
     auto buffer = std::make_shared<std::string>();
     asio::async_read_until(
         *socket, asio::dynamic_buffer(*buffer), "\r\n\r\n",
-        [this, socket, buffer, served](const std::error_code& error, std::size_t) {
+        [this, socket, buffer, answered](const std::error_code& error, std::size_t) {
           if (error) return;
-          ++received;
-          if (served > 0) return socket->close();
+          ++received_requests;
+          if (answered > 0) return socket->close();
           static const std::string reply = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
           asio::async_write(*socket, asio::buffer(reply),
                             [this, socket](const auto&, std::size_t) { read(socket, 1); });
@@ -49,7 +49,7 @@
 };
 
 /// Sends two requests, one after the other. @return requests that the server received.
-int count_received(bool fresh_connection) {
+int count_received_requests(bool fresh_connection) {
   asio::io_context loop;
   DroppingServer server(loop);
   CurlHttpClient client(loop);
@@ -63,19 +63,19 @@
   client.fetch(request(),
                [&](const auto&) { client.fetch(request(), [&](const auto&) { loop.stop(); }); });
   loop.run();
-  return server.received;
+  return server.received_requests;
 }
 
 }  // namespace
 
 // Why a request that may run once never goes over a reused connection: libcurl sends it again by
 // itself when that connection turns out to be dead, though the request was received.
-Test(http_client, a_reused_connection_repeats_a_request_and_a_fresh_one_never_does) {
-  cr_assert_eq(count_received(false), 3);
-  cr_assert_eq(count_received(true), 2);
+Test(http_client, libcurl_resends_on_a_reused_connection_but_not_on_a_fresh_one) {
+  cr_assert_eq(count_received_requests(false), 3);
+  cr_assert_eq(count_received_requests(true), 2);
 }
 
-Test(http_client, tells_a_refused_connection_from_an_uncertain_end) {
+Test(http_client, reports_nothing_sent_for_a_refused_connection) {
   asio::io_context loop;
   CurlHttpClient client(loop);
   asio::ip::tcp::acceptor closed(loop, {asio::ip::make_address("127.0.0.1"), 0});
--- a/tests/relay/relay_session_test.cpp
+++ b/tests/relay/relay_session_test.cpp
@@ -115,7 +115,7 @@
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.request("/once/a");
-  const auto& belongs = site.http.at(0).request.belongs;
+  const auto& belongs = site.http.at(0).request.accepts_answer;
   cr_assert(belongs(200, RelayFixture::sealed("r1")));
   cr_assert_not(belongs(200, RelayFixture::sealed("r0")));
 }
--- a/tests/relay/support/fakes.cpp
+++ b/tests/relay/support/fakes.cpp
@@ -203,7 +203,7 @@
   for (const Change& change : all_) {
     if (change.kind != kind || change.revision > list.revision) continue;
     objects[change.change.object.name] = change.change.object;
-    if (change.change.gone) objects.erase(change.change.object.name);
+    if (change.change.deleted) objects.erase(change.change.object.name);
   }
   for (const auto& [name, object] : objects) list.objects.push_back(object);
   send<store::ObjectList>(call, objects.size(), timeout, std::move(handler), list);
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -218,7 +218,7 @@
     const MonotonicTime begun = runtime_.now() + answer_delay;
     link->carry(call, objects * object_bytes, answer_delay,
                 [this, begun, handler = std::move(handler), value = std::move(value)]() mutable {
-                  if (value) value->transfer = runtime_.now() - begun;
+                  if (value) value->transfer_time = runtime_.now() - begun;
                   handler(std::move(value));
                 });
   }
--- a/tests/store/kind_watch_test.cpp
+++ b/tests/store/kind_watch_test.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-struct Watched {
-  Watched() {
+struct WatchFixture {
+  WatchFixture() {
     handlers.on_list = [this](const store::ObjectList& list) {
       names.clear();
       for (const auto& object : list.objects) names.insert(object.name);
     };
     handlers.on_change = [this](const store::ObjectChange& change) {
-      if (change.gone) {
+      if (change.deleted) {
         names.erase(change.object.name);
       } else {
         names.insert(change.object.name);
@@ -31,7 +31,7 @@
   }
   /// Starts with one object and a long wait, and then changes the store without the watch under way
   /// hearing of it.
-  void start_and_miss(const std::string& name) {
+  void start_and_miss_change(const std::string& name) {
     store.put("k", "a", {});
     settings.wait = 30s;
     start();
@@ -42,7 +42,7 @@
   }
   /// Starts with one object and a long wait on answers that may lag, which then stand still while
   /// the store changes.
-  void start_behind_a_replica(const std::string& name) {
+  void start_with_stale_replica(const std::string& name) {
     store.put("k", "a", {});
     settings.freshness = store::Freshness::kMayLag;
     settings.wait = 30s;
@@ -61,216 +61,216 @@
 
 }  // namespace
 
-Test(kind_watch, keeps_up_with_changes) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.start();
-  watched.runtime.advance(1ms);
-  cr_assert_eq(watched.names.count("a"), 1);
-  watched.store.put("k", "b", {});
-  watched.store.remove("k", "a");
-  watched.runtime.advance(watched.settings.gather + 20ms);
-  cr_assert_eq(watched.names, std::set<std::string>{"b"});
+Test(kind_watch, applies_changes) {
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  cr_assert_eq(fixture.names.count("a"), 1);
+  fixture.store.put("k", "b", {});
+  fixture.store.remove("k", "a");
+  fixture.runtime.advance(fixture.settings.batch_delay + 20ms);
+  cr_assert_eq(fixture.names, std::set<std::string>{"b"});
 }
 
-Test(kind_watch, gathers_changes_that_come_close_together) {
+Test(kind_watch, batches_changes_that_come_close_together) {
   // Seen at 98 machines before 996 engines: 150 calls a machine while the engines registered.
-  Watched watched;
-  watched.start();
-  watched.runtime.advance(1ms);
+  WatchFixture fixture;
+  fixture.start();
+  fixture.runtime.advance(1ms);
   for (int i = 0; i < 200; ++i) {
-    watched.store.put("k", "e" + std::to_string(i), {});
-    watched.runtime.advance(5ms);
+    fixture.store.put("k", "e" + std::to_string(i), {});
+    fixture.runtime.advance(5ms);
   }
-  watched.runtime.advance(watched.settings.gather + 20ms);
-  cr_assert_eq(watched.names.size(), 200);
-  cr_assert_leq(watched.store.watches, 6);
+  fixture.runtime.advance(fixture.settings.batch_delay + 20ms);
+  cr_assert_eq(fixture.names.size(), 200);
+  cr_assert_leq(fixture.store.watches, 6);
 }
 
-Test(kind_watch, gathers_as_long_as_it_is_told) {
-  Watched watched;
-  watched.start();
-  watched.runtime.advance(1ms);
-  watched.watch->set_gather(900ms);
+Test(kind_watch, uses_the_configured_batch_delay) {
+  WatchFixture fixture;
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  fixture.watch->set_batch_delay(900ms);
   for (int i = 0; i < 200; ++i) {
-    watched.store.put("k", "e" + std::to_string(i), {});
-    watched.runtime.advance(5ms);
+    fixture.store.put("k", "e" + std::to_string(i), {});
+    fixture.runtime.advance(5ms);
   }
-  watched.runtime.advance(920ms);
-  cr_assert_eq(watched.names.size(), 200);
-  cr_assert_leq(watched.store.watches, 4);
+  fixture.runtime.advance(920ms);
+  cr_assert_eq(fixture.names.size(), 200);
+  cr_assert_leq(fixture.store.watches, 4);
 }
 
-Test(kind_watch, calls_again_at_once_when_others_have_seen_what_it_has_not) {
-  Watched watched;
-  watched.start_and_miss("b");
-  watched.runtime.advance(3s);
-  cr_assert_eq(watched.names.count("b"), 0, "the call under way does not tell");
-  watched.watch->hint(watched.store.revision());
-  watched.runtime.advance(watched.settings.hint_grace + 20ms);
-  cr_assert_eq(watched.names.count("b"), 1);
-  cr_assert_eq(watched.watch->newest_change(), watched.store.revision());
+Test(kind_watch, repeats_the_call_when_a_hint_shows_a_missed_change) {
+  WatchFixture fixture;
+  fixture.start_and_miss_change("b");
+  fixture.runtime.advance(3s);
+  cr_assert_eq(fixture.names.count("b"), 0, "the call under way does not tell");
+  fixture.watch->hint(fixture.store.revision());
+  fixture.runtime.advance(fixture.settings.hint_grace + 20ms);
+  cr_assert_eq(fixture.names.count("b"), 1);
+  cr_assert_eq(fixture.watch->newest_change(), fixture.store.revision());
 }
 
-Test(kind_watch, makes_no_call_for_a_hint_of_what_it_has_seen) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.start();
-  watched.runtime.advance(1ms);
-  watched.watch->hint(watched.store.revision());
-  watched.runtime.advance(1s);
-  cr_assert_eq(watched.store.watches, 1);
+Test(kind_watch, ignores_a_hint_of_a_known_revision) {
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  fixture.watch->hint(fixture.store.revision());
+  fixture.runtime.advance(1s);
+  cr_assert_eq(fixture.store.watches, 1);
 }
 
-Test(kind_watch, takes_no_answer_of_a_call_that_it_gave_up) {
-  Watched watched;
-  watched.start_and_miss("b");
-  watched.watch->hint(watched.store.revision());
-  watched.runtime.advance(watched.settings.hint_grace + 20ms);
-  watched.store.remove("k", "b");
+Test(kind_watch, ignores_the_answer_of_a_cancelled_call) {
+  WatchFixture fixture;
+  fixture.start_and_miss_change("b");
+  fixture.watch->hint(fixture.store.revision());
+  fixture.runtime.advance(fixture.settings.hint_grace + 20ms);
+  fixture.store.remove("k", "b");
   // The call that was given up wakes with both changes; the second has been seen by then.
-  watched.runtime.advance(watched.settings.gather + 20ms);
-  cr_assert_eq(watched.names, std::set<std::string>{"a"});
+  fixture.runtime.advance(fixture.settings.batch_delay + 20ms);
+  cr_assert_eq(fixture.names, std::set<std::string>{"a"});
 }
 
 Test(kind_watch, lists_again_when_the_history_is_gone) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.start();
-  watched.runtime.advance(1ms);
-  watched.store.remove("k", "a");
-  watched.store.put("k", "b", {});
-  watched.store.forget_history();
-  watched.runtime.advance(2s);
-  cr_assert_eq(watched.store.lists, 2);
-  cr_assert_eq(watched.names, std::set<std::string>{"b"});
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  fixture.store.remove("k", "a");
+  fixture.store.put("k", "b", {});
+  fixture.store.forget_history();
+  fixture.runtime.advance(2s);
+  cr_assert_eq(fixture.store.lists, 2);
+  cr_assert_eq(fixture.names, std::set<std::string>{"b"});
 }
 
-Test(kind_watch, keeps_trying_without_a_stampede_while_the_store_is_down) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.store.down = true;
-  watched.start();
-  watched.runtime.advance(20s);
-  cr_assert(watched.watch->lost());
-  cr_assert_leq(watched.store.lists, 60);
-  watched.store.down = false;
-  watched.runtime.advance(2s);
-  cr_assert_eq(watched.names.count("a"), 1, "found within two seconds");
-  cr_assert_not(watched.watch->lost());
+Test(kind_watch, retries_with_backoff_while_the_store_is_down) {
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.store.down = true;
+  fixture.start();
+  fixture.runtime.advance(20s);
+  cr_assert(fixture.watch->lost());
+  cr_assert_leq(fixture.store.lists, 60);
+  fixture.store.down = false;
+  fixture.runtime.advance(2s);
+  cr_assert_eq(fixture.names.count("a"), 1, "found within two seconds");
+  cr_assert_not(fixture.watch->lost());
 }
 
 Test(kind_watch, serves_the_last_known_state_while_the_store_is_down) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.start();
-  watched.runtime.advance(1ms);
-  watched.store.down = true;
-  watched.runtime.advance(30s);
-  cr_assert_eq(watched.names.count("a"), 1);
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  fixture.store.down = true;
+  fixture.runtime.advance(30s);
+  cr_assert_eq(fixture.names.count("a"), 1);
 }
 
-Test(kind_watch, hands_an_old_list_on_only_with_what_came_after_it) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.store.replica_revision = watched.store.revision();
-  watched.store.put("k", "b", {});
-  watched.store.remove("k", "a");
-  watched.settings.freshness = store::Freshness::kMayLag;
+Test(kind_watch, confirms_a_stale_list_before_reporting_it) {
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.store.replica_revision = fixture.store.revision();
+  fixture.store.put("k", "b", {});
+  fixture.store.remove("k", "a");
+  fixture.settings.freshness = store::Freshness::kMayLag;
   std::vector<std::size_t> lists;
-  watched.handlers.on_list = [&](const store::ObjectList& list) {
+  fixture.handlers.on_list = [&](const store::ObjectList& list) {
     lists.push_back(list.objects.size());
   };
-  watched.start();
-  watched.runtime.advance(1ms);
+  fixture.start();
+  fixture.runtime.advance(1ms);
   cr_assert_eq(lists, std::vector<std::size_t>{1});
-  cr_assert_eq(watched.names, std::set<std::string>{"b"});
-  cr_assert_eq(watched.store.latest_calls, 1, "one to confirm it, at a tenth of a list's price");
+  cr_assert_eq(fixture.names, std::set<std::string>{"b"});
+  cr_assert_eq(fixture.store.latest_calls, 1, "one to confirm it, at a tenth of a list's price");
 }
 
-Test(kind_watch, is_not_ready_with_an_old_list_that_nobody_confirms) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.settings.freshness = store::Freshness::kMayLag;
+Test(kind_watch, does_not_report_an_unconfirmed_list) {
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.settings.freshness = store::Freshness::kMayLag;
   bool listed = false;
-  watched.handlers.on_list = [&](const auto&) { listed = true; };
-  watched.start();
-  watched.store.down = true;  // The list is on its way, and the next call fails.
-  watched.runtime.advance(1ms);
+  fixture.handlers.on_list = [&](const auto&) { listed = true; };
+  fixture.start();
+  fixture.store.down = true;  // The list is on its way, and the next call fails.
+  fixture.runtime.advance(1ms);
   cr_assert_not(listed);
-  watched.store.down = false;
-  watched.runtime.advance(1s);
+  fixture.store.down = false;
+  fixture.runtime.advance(1s);
   cr_assert(listed);
 }
 
-Test(kind_watch, asks_for_the_latest_when_others_have_seen_more_than_a_lagging_answer_tells) {
-  Watched watched;
-  watched.start_behind_a_replica("b");
-  watched.runtime.advance(3s);
-  cr_assert_eq(watched.names.count("b"), 0, "the replica lags");
-  watched.watch->hint(watched.store.revision());
-  watched.runtime.advance(watched.settings.hint_grace + 20ms);
-  cr_assert_eq(watched.names.count("b"), 1);
+Test(kind_watch, requests_the_latest_state_when_a_hint_is_newer_than_the_replica) {
+  WatchFixture fixture;
+  fixture.start_with_stale_replica("b");
+  fixture.runtime.advance(3s);
+  cr_assert_eq(fixture.names.count("b"), 0, "the replica lags");
+  fixture.watch->hint(fixture.store.revision());
+  fixture.runtime.advance(fixture.settings.hint_grace + 20ms);
+  cr_assert_eq(fixture.names.count("b"), 1);
 }
 
-Test(kind_watch, never_goes_back_when_the_replica_is_behind) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.settings.freshness = store::Freshness::kMayLag;
-  watched.start();
-  watched.runtime.advance(1ms);
-  watched.store.replica_revision = watched.store.revision();
-  watched.store.remove("k", "a");
-  watched.store.put("k", "b", {});
-  watched.watch->hint(watched.store.revision());
-  watched.runtime.advance(10s);
-  cr_assert_eq(watched.names, std::set<std::string>{"b"});
-  watched.store.forget_history();
-  watched.store.replica_revision = 2;
-  watched.runtime.advance(10s);
-  cr_assert_eq(watched.names, std::set<std::string>{"b"}, "though the replica still has a");
+Test(kind_watch, never_reverts_to_an_older_state) {
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.settings.freshness = store::Freshness::kMayLag;
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  fixture.store.replica_revision = fixture.store.revision();
+  fixture.store.remove("k", "a");
+  fixture.store.put("k", "b", {});
+  fixture.watch->hint(fixture.store.revision());
+  fixture.runtime.advance(10s);
+  cr_assert_eq(fixture.names, std::set<std::string>{"b"});
+  fixture.store.forget_history();
+  fixture.store.replica_revision = 2;
+  fixture.runtime.advance(10s);
+  cr_assert_eq(fixture.names, std::set<std::string>{"b"}, "though the replica still has a");
 }
 
-Test(kind_watch, asks_anew_when_nobody_reads_the_latest_any_more) {
-  Watched watched;
-  watched.start_behind_a_replica("b");
-  watched.watch->set_freshness(store::Freshness::kLatest);
-  watched.runtime.advance(1ms);
-  cr_assert_eq(watched.names.count("b"), 1);
+Test(kind_watch, repeats_the_call_when_switched_to_latest) {
+  WatchFixture fixture;
+  fixture.start_with_stale_replica("b");
+  fixture.watch->set_freshness(store::Freshness::kLatest);
+  fixture.runtime.advance(1ms);
+  cr_assert_eq(fixture.names.count("b"), 1);
 }
 
-Test(kind_watch, does_not_wait_out_a_pause_when_the_store_answers_others) {
-  Watched watched;
-  watched.store.put("k", "a", {});
-  watched.settings.longest_backoff = 30s;
-  watched.start();
-  watched.runtime.advance(1ms);
-  watched.store.down = true;
-  watched.runtime.advance(60s);
-  watched.store.down = false;
-  watched.store.put("k", "b", {});
+Test(kind_watch, a_hint_shortens_the_backoff) {
+  WatchFixture fixture;
+  fixture.store.put("k", "a", {});
+  fixture.settings.max_backoff = 30s;
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  fixture.store.down = true;
+  fixture.runtime.advance(60s);
+  fixture.store.down = false;
+  fixture.store.put("k", "b", {});
   for (int i = 0; i < 20; ++i) {
-    watched.watch->hint(watched.store.revision());
-    watched.runtime.advance(10ms);
+    fixture.watch->hint(fixture.store.revision());
+    fixture.runtime.advance(10ms);
   }
-  cr_assert_eq(watched.names.count("b"), 1);
+  cr_assert_eq(fixture.names.count("b"), 1);
 }
 
-Test(kind_watch, asks_for_no_latest_answer_while_it_only_gathers) {
+Test(kind_watch, does_not_request_the_latest_state_during_the_batch_delay) {
   // Seen at 295 nodes: hints came while changes were gathered, and each call after that asked for
   // the latest, at ten times the price.
-  Watched watched;
-  watched.settings.freshness = store::Freshness::kMayLag;
-  watched.settings.confirm_first_list = false;
-  watched.start();
-  watched.runtime.advance(1ms);
-  watched.watch->set_gather(1300ms);
+  WatchFixture fixture;
+  fixture.settings.freshness = store::Freshness::kMayLag;
+  fixture.settings.confirm_first_list = false;
+  fixture.start();
+  fixture.runtime.advance(1ms);
+  fixture.watch->set_batch_delay(1300ms);
   for (int i = 0; i < 50; ++i) {
-    watched.store.put("k", "e" + std::to_string(i), {});
-    watched.watch->hint(watched.store.revision());
-    watched.runtime.advance(100ms);
+    fixture.store.put("k", "e" + std::to_string(i), {});
+    fixture.watch->hint(fixture.store.revision());
+    fixture.runtime.advance(100ms);
   }
-  watched.runtime.advance(2s);
-  cr_assert_eq(watched.names.size(), 50);
-  cr_assert_eq(watched.store.latest_calls, 0);
+  fixture.runtime.advance(2s);
+  cr_assert_eq(fixture.names.size(), 50);
+  cr_assert_eq(fixture.store.latest_calls, 0);
 }
--- a/tests/suspension/suspension_test.cpp
+++ b/tests/suspension/suspension_test.cpp
@@ -18,28 +18,28 @@
 namespace {
 
 /// How long this machine has been suspended, in seconds.
-std::atomic<time_t> suspended_for{0};
+std::atomic<time_t> suspended_seconds{0};
 
 }  // namespace
 
 /// Stands before the system's own in this program.
 extern "C" int clock_gettime(clockid_t clock, timespec* now) {
   const long result = syscall(SYS_clock_gettime, clock, now);
-  if (result == 0 && clock == CLOCK_BOOTTIME) now->tv_sec += suspended_for;
+  if (result == 0 && clock == CLOCK_BOOTTIME) now->tv_sec += suspended_seconds;
   return static_cast<int>(result);
 }
 
 using namespace shuntbank;
 using namespace std::chrono_literals;
 
-Test(suspension, is_counted_by_the_clock) {
+Test(suspension, counts_in_the_monotonic_clock) {
   const MonotonicTime before = monotonic_now();
-  suspended_for = 100;
+  suspended_seconds = 100;
   const Duration passed = monotonic_now() - before;
   cr_assert(passed >= 100s);
 }
 
-Test(suspension, ends_a_lease_that_has_passed_meanwhile) {
+Test(suspension, expires_a_lease) {
   LeaseHolder holder(NodeId("n1"), {10s, 3s, 2s});
   MonotonicTime now = monotonic_now();
   cr_assert(holder.poll(now, true, "w1") == LeaseAction::kRead);
@@ -48,21 +48,21 @@
   cr_assert(holder.poll(now, true, "w1") == LeaseAction::kWrite);
   holder.on_written(now, true, 1);
   cr_assert(holder.authority(monotonic_now()).has_value());
-  suspended_for = 20;
+  suspended_seconds = 20;
   cr_assert_not(holder.authority(monotonic_now()).has_value(),
                 "a holder that wakes knows that it slept");
 }
 
-Test(suspension, lets_timers_come_that_were_due_meanwhile) {
+Test(suspension, fires_timers_that_became_due) {
   // The process wakes for its next short timer, and finds the long one due as well.
   asio::io_context loop;
   AsioRuntime runtime(loop);
-  bool long_timer_came = false;
-  const auto long_timer = runtime.after(60s, [&] { long_timer_came = true; });
+  bool long_timer_fired = false;
+  const auto long_timer = runtime.after(60s, [&] { long_timer_fired = true; });
   const auto short_timer = runtime.after(20ms, [&] { runtime.post([&] { loop.stop(); }); });
-  suspended_for = 100;
+  suspended_seconds = 100;
   loop.run();
   loop.restart();
   loop.poll();
-  cr_assert(long_timer_came);
+  cr_assert(long_timer_fired);
 }
