--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Network addresses by IP number, as settings and declared objects give them.
+/// Parsing and formatting of numeric IP addresses with a port.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -10,8 +10,8 @@
 
 namespace shuntbank {
 
-/// Parses `IP:PORT`; IPv6 numbers stand in brackets. Names are refused: nothing is looked up.
-/// @return the endpoint, or a message that says what is accepted.
+/// Parses `IP:PORT`, with IPv6 addresses in brackets. Host names are rejected: there is no DNS
+/// lookup. @return the endpoint, or an error message that names the accepted form.
 tl::expected<asio::ip::tcp::endpoint, std::string> parse_endpoint(std::string_view text);
 
 /// @return `endpoint` as `IP:PORT`.
--- a/src/net/asio_runtime.cpp
+++ b/src/net/asio_runtime.cpp
@@ -14,8 +14,8 @@
  public:
   AsioTimer(asio::io_context& loop, Duration delay, std::function<void()> function)
       : timer_(loop, delay) {
-    // The flag outlives the timer: a call that is already queued when the timer is destroyed must
-    // not happen either.
+    // The flag outlives the timer, so that a handler already queued when the timer is destroyed
+    // does not run either.
     timer_.async_wait(
         [alive = alive_, function = std::move(function)](const std::error_code& error) {
           if (!error && *alive) function();
--- a/src/net/asio_runtime.hpp
+++ b/src/net/asio_runtime.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The runtime of real processes, on an Asio loop.
+/// Production implementation of `Runtime` on an Asio event loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -8,7 +8,7 @@
 
 namespace shuntbank {
 
-/// Timers of a loop, the system's clocks and its random generator.
+/// Provides the loop's timers, the system clocks and random numbers.
 class AsioRuntime : public Runtime {
  public:
   explicit AsioRuntime(asio::io_context& loop) : loop_(loop) {}
--- a/src/net/blocking_client.hpp
+++ b/src/net/blocking_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One HTTP call for command line tools: runs a loop of its own until the reply is there.
+/// Blocking HTTP call for command line tools, on an event loop of its own.
 #pragma once
 
 #include <tl/expected.hpp>
@@ -8,7 +8,7 @@
 
 namespace shuntbank {
 
-/// Sends a request and waits for the whole reply.
+/// Sends a request and blocks until the whole reply has arrived or the transfer has failed.
 tl::expected<HttpReply, TransferError> fetch_blocking(OutgoingRequest request);
 
 }  // namespace shuntbank
--- a/src/net/datagram_channel.hpp
+++ b/src/net/datagram_channel.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Small messages between nodes by UDP. They may be lost, doubled or reordered.
+/// Small messages between nodes over UDP. They may be lost, duplicated or reordered.
 #pragma once
 
 #include <array>
@@ -16,15 +16,15 @@
  public:
   using Handler = std::function<void(std::string_view text, const asio::ip::udp::endpoint& sender)>;
 
-  /// Binds at once. @throw std::system_error when the address cannot be had.
+  /// Binds immediately. @throw std::system_error if the address cannot be bound.
   DatagramChannel(asio::io_context& loop, const asio::ip::udp::endpoint& listen, Handler handler);
 
-  /// Sends without waiting; a datagram that cannot be sent now is lost.
+  /// Sends without blocking; a datagram that cannot be sent immediately is dropped.
   void send(const asio::ip::udp::endpoint& target, std::string_view text);
 
   asio::ip::udp::endpoint local_endpoint() const { return socket_.local_endpoint(); }
 
-  /// @return bytes sent and received so far, without the headers below UDP.
+  /// @return UDP payload bytes sent and received so far.
   std::uint64_t bytes_sent() const { return bytes_sent_; }
   std::uint64_t bytes_received() const { return bytes_received_; }
 
--- a/src/net/frame_channel.cpp
+++ b/src/net/frame_channel.cpp
@@ -27,7 +27,7 @@
   return length;
 }
 
-/// One connection, on either side. Keeps itself alive while an operation is outstanding.
+/// Client or server side of a connection. Stays alive while an operation is pending.
 class FrameConnection : public std::enable_shared_from_this<FrameConnection> {
  public:
   using ReadHandler = std::function<void(tl::expected<std::string, std::string>)>;
@@ -86,8 +86,8 @@
         });
   }
 
-  /// Called whenever bytes have come. How long a frame takes is for its size and the link to say:
-  /// one that is given up on its way and asked for again may never come.
+  /// Completion condition of the body read. Restarts the idle timeout whenever bytes arrive: a
+  /// total timeout could make every attempt at a large frame on a slow link fail.
   std::size_t bytes_remaining(const std::error_code& error, std::size_t received) {
     if (error) return 0;
     restart_timeout(kAnswerIdleTimeout);
--- a/src/net/frame_channel.hpp
+++ b/src/net/frame_channel.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Framed messages over TCP between nodes: four bytes of length in network order, then the text.
-/// Each call opens a connection, sends one frame and reads one frame.
+/// Length-prefixed messages over TCP between nodes: a four-byte length in network byte order, then
+/// the payload. Each call opens a connection, sends one frame and reads one frame.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,14 +14,14 @@
 
 namespace shuntbank {
 
-/// Answers frames.
+/// Accepts connections and answers one frame on each.
 class FrameServer {
  public:
-  /// Hands back the reply; empty text closes the connection without one.
+  /// Calls `reply` with the answer; an empty one closes the connection without an answer.
   using Handler = std::function<void(std::string frame, std::function<void(std::string)> reply)>;
 
-  /// Listens at once. @throw std::system_error when the address cannot be had.
-  /// @param max_frame largest frame that is read, in bytes.
+  /// Listens immediately. @throw std::system_error if the address cannot be bound.
+  /// @param max_frame largest accepted frame, in bytes.
   FrameServer(asio::io_context& loop, const asio::ip::tcp::endpoint& listen, std::size_t max_frame,
               Handler handler);
   ~FrameServer();
@@ -36,8 +36,8 @@
 };
 
 /// Sends one frame and reads one frame.
-/// @param timeout until the answer begins; from there on only silence ends it.
-/// @param handler called once on the loop with the reply or what went wrong.
+/// @param timeout until the first byte of the answer; after it only the idle timeout applies.
+/// @param handler called once on the loop with the reply or an error message.
 void call_frame(asio::io_context& loop, const asio::ip::tcp::endpoint& peer, std::string frame,
                 std::size_t max_frame, Duration timeout,
                 std::function<void(tl::expected<std::string, std::string>)> handler);
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -13,22 +13,22 @@
 namespace shuntbank {
 namespace {
 
-/// Idle connections that are kept for reuse.
+/// Size of libcurl's pool of idle connections.
 constexpr long kMaxIdleConnections = 512;
 
 struct CurlGlobal {
   CurlGlobal() { curl_global_init(CURL_GLOBAL_DEFAULT); }
 };
 
-/// A socket of libcurl, watched by the loop.
+/// A socket of libcurl that the loop polls.
 struct WatchedSocket {
   explicit WatchedSocket(asio::io_context& loop, curl_socket_t socket) : descriptor(loop, socket) {}
   asio::posix::stream_descriptor descriptor;
   int interest = CURL_POLL_NONE;
-  std::uint64_t generation = 0;  ///< Grows whenever the interest changes; stale waits are ignored.
+  std::uint64_t generation = 0;  ///< Incremented when the interest changes, to ignore stale waits.
 };
 
-/// One transfer and what it owns.
+/// State of a transfer. Owns its libcurl handles.
 struct Transfer {
   TransferId id = 0;
   CURL* easy = nullptr;
@@ -90,8 +90,7 @@
     const std::shared_ptr<Transfer> transfer = found->second;
     transfer->cancelled = true;
     transfers_.erase(found);
-    // libcurl forbids removal from inside its callbacks, so it happens on the next turn of the
-    // loop.
+    // libcurl forbids removal from within its callbacks, so it is deferred.
     asio::post(loop_, [self = shared_from_this(), transfer] {
       if (self->closed_) return;
       curl_multi_remove_handle(self->multi_, transfer->easy);
@@ -160,12 +159,12 @@
       const std::string line = field.name + ": " + field.value;
       transfer.header_list = curl_slist_append(transfer.header_list, line.c_str());
     }
-    // Without this libcurl holds a large body back until the peer says "continue".
+    // Stops libcurl from waiting for "100 Continue" before it sends a large body.
     transfer.header_list = curl_slist_append(transfer.header_list, "Expect:");
     curl_easy_setopt(transfer.easy, CURLOPT_HTTPHEADER, transfer.header_list);
   }
 
-  /// Called when the connection stands and before the first byte of the request is sent.
+  /// Called once the connection is established, before the first byte of the request is sent.
   static int before_request(void* data, char*, char*, int, int) {
     static_cast<Transfer*>(data)->connected = true;
     return CURL_PREREQFUNC_OK;
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP messages as the rest of the system sees them, free of any library's types.
+/// HTTP messages, independent of the libraries that send and receive them.
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
   std::string value;
 };
 
-/// Header fields in order; names compare without regard to case.
+/// Ordered header fields with case-insensitive names.
 class HttpHeaders {
  public:
   HttpHeaders() = default;
@@ -23,13 +23,13 @@
   /// Appends a field.
   void add(std::string name, std::string value);
 
-  /// Removes every field of that name.
+  /// Removes all fields of that name.
   void remove(std::string_view name);
 
-  /// @return how many fields have that name.
+  /// @return the number of fields of that name.
   std::size_t count(std::string_view name) const;
 
-  /// @return the value of the first field of that name, or empty text.
+  /// @return the value of the first field of that name, or an empty string.
   std::string_view get(std::string_view name) const;
 
   const std::vector<HttpHeader>& fields() const { return fields_; }
@@ -38,32 +38,32 @@
   std::vector<HttpHeader> fields_;
 };
 
-/// A request as a server receives it, whole.
+/// A complete request as received by a server.
 struct HttpRequest {
   std::string method;
   std::string path;    ///< Without the query.
-  std::string query;   ///< Behind `?`.
-  std::string target;  ///< Path and query as they were sent, byte for byte.
+  std::string query;   ///< After the `?`.
+  std::string target;  ///< Path and query exactly as sent.
   HttpHeaders headers;
   std::string body;
-  std::string caller;  ///< Address of the other end, without its port; empty where it is not known.
+  std::string caller;  ///< Remote address without port; empty if unknown.
 
-  /// @return the value of a query parameter as sent, or empty text.
+  /// @return the value of a query parameter, still percent-encoded, or an empty string.
   std::string query_value(std::string_view name) const;
 };
 
-/// A whole reply.
+/// A complete reply.
 struct HttpReply {
   int status = 0;
   HttpHeaders headers;
   std::string body;
 };
 
-/// @return the fields without those that concern one connection only (RFC 9110, 7.6.1) and without
-/// framing, which each hop sets itself.
+/// @return the fields without the hop-by-hop ones (RFC 9110, 7.6.1) and without framing, which each
+/// hop sets itself.
 HttpHeaders without_hop_by_hop_fields(HttpHeaders headers);
 
-/// @return whether two names are equal without regard to ASCII case.
+/// Compares two names, ignoring ASCII case.
 bool equal_ignoring_case(std::string_view left, std::string_view right);
 
 }  // namespace shuntbank
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -14,15 +14,15 @@
 using ConnectionId = restinio::connection_id_t;
 using StreamBuilder = restinio::response_builder_t<restinio::chunked_output_t>;
 
-/// RESTinio's own bound on one request's handling. Deadlines are kept by the handlers instead.
+/// Effectively disables RESTinio's handling timeout: the handlers enforce their own deadlines.
 constexpr std::chrono::hours kHandlingTimeout{24};
 
-/// Two, so that the connection is still read, and its end seen, while a request is handled.
+/// Two, so that RESTinio keeps reading and detects a disconnect while a request is handled.
 constexpr std::size_t kMaxPipelinedRequests = 2;
 
 class ResponderImpl;
 
-/// Tells responders when their connection has closed. RESTinio calls it for each connection.
+/// Notifies responders when their connection closes. Registered with RESTinio.
 class ConnectionListener {
  public:
   void add(ConnectionId id, const std::shared_ptr<ResponderImpl>& responder) {
@@ -87,7 +87,7 @@
 
   void on_closed(std::function<void()> handler) override { closed_handler_ = std::move(handler); }
 
-  /// The connection closed under an unfinished reply.
+  /// Called when the connection closes before the reply has ended.
   void on_connection_closed() {
     if (std::exchange(ended_, true)) return;
     drained_handler_ = nullptr;
@@ -101,7 +101,7 @@
             http_status::reason(status)};
   }
 
-  /// @return whether the reply was still open; it no longer is.
+  /// Marks the reply as ended. @return false if it had already ended.
   bool mark_ended() {
     if (std::exchange(ended_, true)) return false;
     connection_listener_->remove(request_->connection_id(), this);
@@ -133,8 +133,8 @@
   restinio::request_handle_t request_;
   std::shared_ptr<ConnectionListener> connection_listener_;
   std::optional<StreamBuilder> stream_;
-  std::string buffered_;  ///< Written here while the kernel still holds the piece before.
-  std::size_t in_flight_bytes_ = 0;  ///< Bytes of the piece that is being handed over.
+  std::string buffered_;             ///< Data written while the previous piece is being sent.
+  std::size_t in_flight_bytes_ = 0;  ///< Size of the piece that is being sent.
   std::function<void()> drained_handler_;
   std::function<void()> closed_handler_;
   bool ended_ = false;
--- a/src/net/http_status.hpp
+++ b/src/net/http_status.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP status codes that this system gives itself, and their reason phrases (RFC 9110).
+/// HTTP status codes that this system generates, and their reason phrases (RFC 9110).
 #pragma once
 
 namespace shuntbank::http_status {
@@ -19,7 +19,7 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/// @return the reason phrase of a status, or a neutral word for statuses not listed.
+/// @return the reason phrase of a status, or "Status" for one that is not listed.
 const char* reason(int status);
 
 }  // namespace shuntbank::http_status
--- a/src/net/monotonic_timer.hpp
+++ b/src/net/monotonic_timer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Timers of an Asio loop that count the time for which the machine is suspended.
+/// Asio timer that includes the time for which the machine is suspended.
 #pragma once
 
 #include <asio/basic_waitable_timer.hpp>
@@ -8,9 +8,9 @@
 
 namespace shuntbank {
 
-/// The loop itself sleeps by a clock that stands still meanwhile: after a wake, what has become due
-/// comes with the next timer that was due anyway, which a process with timers of a second or less
-/// has within that time.
+/// The event loop itself waits on a clock that stops during suspension. After a resume, overdue
+/// timers therefore fire only with the loop's next wake-up, at the latest with the next short
+/// timer.
 using MonotonicTimer = asio::basic_waitable_timer<MonotonicClock>;
 
 }  // namespace shuntbank
--- a/src/net/peer_transport.hpp
+++ b/src/net/peer_transport.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Messages between nodes as text: small ones that may be lost, and calls with an answer.
+/// Messages between nodes: unreliable datagrams, and calls with an answer.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -15,7 +15,7 @@
 
 namespace shuntbank {
 
-/// What one node sends to others and gets from them.
+/// Sends messages to other nodes and receives theirs.
 class PeerTransport {
  public:
   using DatagramHandler = std::function<void(std::string_view text, const std::string& sender)>;
@@ -27,28 +27,27 @@
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  /// Sets who is told of what arrives. Called once, before anything arrives.
+  /// Sets the handlers of incoming messages. Called once, before any message arrives.
   virtual void set_handlers(DatagramHandler on_datagram, CallHandler on_call) = 0;
 
-  /// Sends a small message; it may be lost, doubled or late.
+  /// Sends a small message; it may be lost, duplicated or delayed.
   virtual void send(const std::string& address, std::string_view text) = 0;
 
-  /// Sends a message and hands back its answer, or what went wrong. The answer must begin within
-  /// `timeout`; from there on only silence ends it.
+  /// Sends a message and passes its answer or an error message to `handler`. The answer must begin
+  /// within `timeout`; after that only an idle timeout applies.
   virtual void call(const std::string& address, std::string text, Duration timeout,
                     AnswerHandler handler) = 0;
 
-  /// @return the address that others reach this node at, as `IP:PORT`.
+  /// @return the address at which other nodes reach this one, as `IP:PORT`.
   virtual std::string local_address() const = 0;
 
-  /// @return bytes of small messages so far, without the headers below them.
+  /// @return payload bytes of datagrams sent and received so far.
   virtual std::uint64_t bytes_sent() const = 0;
   virtual std::uint64_t bytes_received() const = 0;
 };
 
-/// Makes the transport of real processes: UDP for small messages, framed TCP for calls, on one
-/// port.
-/// @throw std::system_error when the address cannot be had.
+/// Creates the socket transport: UDP for small messages and framed TCP for calls, on the same port.
+/// @throw std::system_error if the address cannot be bound.
 std::unique_ptr<PeerTransport> make_peer_transport(asio::io_context& loop,
                                                    const asio::ip::tcp::endpoint& listen,
                                                    std::size_t max_frame);
--- a/src/store/kind_watch.cpp
+++ b/src/store/kind_watch.cpp
@@ -9,11 +9,11 @@
 namespace shuntbank::store {
 namespace {
 
-/// Parts of a wait and of a backoff by which they vary, so that the nodes don't call together.
+/// Relative jitter of the wait and the backoff, so that nodes don't call at the same time.
 constexpr double kWaitSpread = 0.2;
 constexpr double kBackoffSpread = 0.5;
 
-/// For a watch that only asks whether anything is new.
+/// For a watch that only checks for newer changes.
 constexpr Duration kNoWait = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -75,7 +75,7 @@
     hinted_revision_ = std::max(hinted_revision_, revision);
     if (hint_timer_ || !listed_ || !behind_hint()) return;
     if (call_kind_ == CallKind::kWatch) return start_hint_timer();
-    // A list under way brings what is new.
+    // A list in flight returns the newer state anyway.
     if (call_kind_ == CallKind::kNone && lost) expedite_retry();
   }
 
@@ -84,7 +84,7 @@
     revision_ = revision;
     newest_change = std::max(newest_change, revision);
     if (call_kind_ == CallKind::kNone || behind_hint()) return;
-    // It would bring what is here already, and callers can have the link for that.
+    // The call in flight would return known changes and take bandwidth from callers.
     cancel_call();
     schedule(settings_.batch_delay, [](Impl& self) { self.start_next_call(); });
   }
@@ -100,7 +100,7 @@
     log_event(LogArea::kPlatform, LogLevel::kInfo, "store_reading",
               {{"kind", kind_}, {"freshness", to_text(freshness)}});
     if (freshness != Freshness::kLatest || call_kind_ != CallKind::kWatch || receiving()) return;
-    // Nobody else looks any more: what the call under way may miss is asked for now.
+    // No other node gives hints any more, and the call in flight may miss changes.
     cancel_call();
     watch();
   }
@@ -113,9 +113,9 @@
  private:
   enum class CallKind { kNone, kList, kWatch };
 
-  /// @return the number by which the call that is begun now is known to its handler.
+  /// Registers a new call. @return its number, by which its handler recognizes it.
   std::uint64_t begin_call(CallKind kind) {
-    // Two answers on one link come later than one, and the first would be thrown away.
+    // The answer in flight would be discarded, and would slow down the new one.
     if (call_kind_ != CallKind::kNone) cancel_call();
     call_kind_ = kind;
     retry_expedited_ = false;
@@ -127,7 +127,7 @@
     return !stopped_ && call_kind_ != CallKind::kNone && number == call_number_;
   }
 
-  /// The link carries nothing more of an answer that nobody waits for.
+  /// Also stops the transfer of an answer that is no longer needed.
   void cancel_call() {
     store_.cancel(call_id_);
     call_kind_ = CallKind::kNone;
@@ -135,10 +135,10 @@
 
   bool behind_hint() const { return hinted_revision_ > revision_; }
 
-  /// The call that suits what is known.
+  /// Starts a list or a watch, depending on the known state.
   void start_next_call() {
     if (!listed_) return list();
-    // All changes since would come one by one, each as large as the state that is asked for.
+    // A watch would return every change since, each as large as the state itself.
     if (settings_.newest_only && (behind_hint() || falling_behind_)) {
       return list(Freshness::kLatest);
     }
@@ -157,8 +157,8 @@
     const bool confirm = list_freshness_ == Freshness::kMayLag && confirm_lists_;
     confirm_lists_ = true;
     if (confirm) {
-      // The list may be older than what is known here. It is taken once the store has said what
-      // came after it.
+      // The list may be older than the known state. It is applied once a watch has returned the
+      // changes since.
       unconfirmed_list_ = std::move(*list);
       return watch();
     }
@@ -171,7 +171,7 @@
     const std::uint64_t before = newest_change;
     revision_ = std::max(revision_, list.revision);
     for (const StoredObject& object : list.objects) record_change(object);
-    // As long as each state is another one, there is a newer one by now.
+    // While every list brings a newer state, there is probably another one by now.
     falling_behind_ = falling_behind_ && newest_change > before;
     log_event(LogArea::kPlatform, LogLevel::kInfo, "kind_listed",
               {{"kind", kind_},
@@ -197,13 +197,13 @@
                             });
   }
 
-  /// The store answers others: there is no reason to wait any longer.
+  /// Cuts the backoff short: a hint shows that the store answers other nodes.
   void expedite_retry() {
     if (std::exchange(retry_expedited_, true)) return;
     schedule(settings_.initial_backoff, [](Impl& self) { self.start_next_call(); });
   }
 
-  /// What others have seen should come here soon as well.
+  /// Starts the grace period in which the hinted change should arrive.
   void start_hint_timer() {
     hint_timer_ = runtime_.after(hint_grace_, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->check_hint();
@@ -213,8 +213,7 @@
   void check_hint() {
     hint_timer_.reset();
     if (stopped_ || call_kind_ != CallKind::kWatch || !behind_hint()) return;
-    // What is on its way fills the link whether it is taken or not. Giving it up for what is newer
-    // could go on for ever, each answer being longer than the one before.
+    // Cancelling a transfer for a newer state could repeat forever, with an ever longer answer.
     if (receiving()) return;
     log_event(LogArea::kPlatform, LogLevel::kWarning, "watch_deaf",
               {{"kind", kind_},
@@ -237,7 +236,7 @@
       log_event(LogArea::kPlatform, LogLevel::kWarning, "history_gone",
                 {{"kind", kind_}, {"revision", revision_}});
       listed_ = false;
-      // A list so old that nobody knows what came after it is of no use a second time.
+      // A second list from the same stale replica could be just as old.
       const bool too_old = std::exchange(unconfirmed_list_, std::nullopt).has_value();
       return list(too_old ? Freshness::kLatest : freshness_);
     }
@@ -251,12 +250,12 @@
     }
     revision_ = std::max(revision_, batch->revision);
     if (batch->changes.empty()) return start_next_call();
-    // Changes come faster than they are read: there are more by now.
+    // More than one change per batch: probably there are more by now.
     falling_behind_ = batch->changes.size() > 1;
     schedule_next_call(batch->transfer_time);
   }
 
-  /// Changes that come close together share a call, and callers get their part of the link.
+  /// Delays the next call to batch changes and to leave bandwidth to callers.
   void schedule_next_call(Duration transfer_time) {
     const Duration transfer_pause =
         from_seconds(settings_.pause_per_transfer_time * to_seconds(transfer_time));
@@ -287,7 +286,7 @@
       log_event(LogArea::kPlatform, LogLevel::kWarning, "store_lost",
                 {{"kind", kind_}, {"call", call_name}, {"error", to_text(error)}});
     }
-    // Jitter keeps the nodes apart after an outage that met all of them.
+    // Jitter spreads the retries of all nodes after a common outage.
     const Duration delay = jittered(backoff_, kBackoffSpread);
     backoff_ = std::min(backoff_ * 2, settings_.max_backoff);
     schedule(delay, [](Impl& self) { self.start_next_call(); });
@@ -305,24 +304,24 @@
   KindWatchSettings settings_;
   KindWatchHandlers handlers_;
   Duration backoff_;
-  Duration hint_grace_;    ///< Of the next hint.
-  Duration list_timeout_;  ///< Of the next list.
+  Duration hint_grace_;    ///< For the next hint.
+  Duration list_timeout_;  ///< For the next list.
   std::unique_ptr<Timer> timer_;
   std::unique_ptr<Timer> hint_timer_;
   Duration wait_;
   Freshness freshness_;
-  Freshness list_freshness_ = Freshness::kLatest;   ///< Of the list under way.
-  Freshness watch_freshness_ = Freshness::kLatest;  ///< Of the watch under way.
+  Freshness list_freshness_ = Freshness::kLatest;   ///< Of the list in flight.
+  Freshness watch_freshness_ = Freshness::kLatest;  ///< Of the watch in flight.
   bool confirm_lists_;
-  std::optional<ObjectList> unconfirmed_list_;  ///< Waits for the store to say what came after it.
+  std::optional<ObjectList> unconfirmed_list_;  ///< Waits for the changes since.
   std::uint64_t revision_ = 0;
-  std::uint64_t hinted_revision_ = 0;  ///< Newest change that others have told of.
-  std::uint64_t call_number_ = 0;      ///< Lists and watches so far.
+  std::uint64_t hinted_revision_ = 0;  ///< Newest revision of all hints.
+  std::uint64_t call_number_ = 0;      ///< Number of the latest call.
   CallKind call_kind_ = CallKind::kNone;
-  CallId call_id_ = 0;               ///< The call under way, as the store names it.
-  MonotonicTime call_started_at_{};  ///< When it was begun.
-  bool falling_behind_ = false;      ///< Changes come faster than they are read.
-  bool retry_expedited_ = false;     ///< The next call after a failure was brought forward.
+  CallId call_id_ = 0;               ///< The store's id of the call in flight.
+  MonotonicTime call_started_at_{};  ///< When the latest call was started.
+  bool falling_behind_ = false;      ///< Changes arrive faster than they are read.
+  bool retry_expedited_ = false;     ///< A hint has cut the backoff short.
   bool listed_ = false;
   bool stopped_ = false;
 };
--- a/src/store/kind_watch.hpp
+++ b/src/store/kind_watch.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Keeps up with all objects of one kind: lists, watches on, and lists again when the history is
-/// gone.
+/// Follows all objects of one kind: lists them, watches for changes, and lists again when the store
+/// no longer has the history.
 #pragma once
 
 #include <functional>
@@ -12,45 +12,44 @@
 
 namespace shuntbank::store {
 
-/// Timing of a watch.
+/// Timing and consistency of a watch.
 struct KindWatchSettings {
-  Duration wait = std::chrono::seconds(3);  ///< Longest wait of one call; finds a silent store.
-  Duration wait_slack = std::chrono::milliseconds(700);  ///< Behind `wait`, until the call fails.
-  /// Behind a batch with changes, until the next call: changes that come close together share one.
+  Duration wait = std::chrono::seconds(3);               ///< Longest wait of a watch call.
+  Duration wait_slack = std::chrono::milliseconds(700);  ///< Added to `wait` for the timeout.
+  /// Least delay between a batch with changes and the next call, so that changes are batched.
   Duration batch_delay = std::chrono::milliseconds(300);
-  /// The answer to a call must have begun within this time after somebody else has seen a change,
-  /// or else the call is taken for lost. Twice as long after each call that was given up, so that a
-  /// store which answers later than this is heard as well.
+  /// A watch call whose answer has not begun within this time after a hint is cancelled and
+  /// repeated. Doubled after each cancelled call, so that a slower store can answer too.
   Duration hint_grace = std::chrono::milliseconds(500);
   Duration max_hint_grace = std::chrono::seconds(4);
-  /// Only the newest state matters, and it is no larger than a change: a watch that is behind reads
-  /// the state instead of all that led to it.
+  /// Only the newest state matters, and it is no larger than a change: a watch that is behind lists
+  /// the state instead of receiving every change.
   bool newest_only = false;
-  /// Behind an answer, times what its bytes took: with the answer itself, a third of a link is the
-  /// most that a watch takes from callers while changes keep coming.
+  /// Pause after an answer, as a multiple of its transfer time. With 2, a watch uses at most a
+  /// third of the link while changes keep arriving.
   double pause_per_transfer_time = 2;
-  /// At most so long behind an answer, or else changes would come into force too late.
+  /// Upper limit of that pause, so that changes become active in time.
   Duration max_pause = std::chrono::milliseconds(800);
-  /// A list must have begun within this time. Twice as long after each that had not, up to the
-  /// longest: a store that is slower for the work of such lists must not do it for nothing. The
-  /// longest is what is lost where a store was silent and never answers the calls of that time.
+  /// Timeout until a list's answer begins. Doubled after each timeout up to the maximum, so that a
+  /// slow store does not work on lists in vain. The maximum bounds the delay after an outage in
+  /// which calls were lost.
   Duration list_timeout = std::chrono::milliseconds(1500);
   Duration max_list_timeout = std::chrono::seconds(3);
   Duration initial_backoff = std::chrono::milliseconds(50);
   Duration max_backoff = std::chrono::milliseconds(800);
-  Freshness freshness = Freshness::kLatest;  ///< Of lists and watches until told otherwise.
-  /// A first list that may lag is handed on only with what came after it. Not needed where no
-  /// harm comes from old news.
+  Freshness freshness = Freshness::kLatest;  ///< Initial one; see `set_freshness`.
+  /// Reports a first list that may lag only after a watch has brought the changes since. Not needed
+  /// where stale data does no harm.
   bool confirm_first_list = true;
 };
 
-/// What a watch tells.
+/// Callbacks of a watch.
 struct KindWatchHandlers {
-  std::function<void(const ObjectList&)> on_list;  ///< The whole state; replaces what was known.
-  std::function<void(const ObjectChange&)> on_change;  ///< In the order of the store.
+  std::function<void(const ObjectList&)> on_list;  ///< Complete state; replaces the previous one.
+  std::function<void(const ObjectChange&)> on_change;  ///< In store order.
 };
 
-/// The watch of one kind. Goes on until it is destroyed; serves the last known state meanwhile.
+/// Watches one kind until it is destroyed, and retries with backoff while the store fails.
 class KindWatch {
  public:
   KindWatch(Runtime& runtime, ObjectStore& store, std::string kind,
@@ -59,42 +58,40 @@
   KindWatch(const KindWatch&) = delete;
   KindWatch& operator=(const KindWatch&) = delete;
 
-  /// @return when the state was last confirmed by the store, or the epoch of the clock.
+  /// @return when the store last answered, or the clock's epoch.
   MonotonicTime confirmed_at() const;
 
-  /// @return when the store last said that nothing newer is known, or the epoch of the clock. An
-  /// answer that may lag says no such thing.
+  /// @return when the store last answered with `Freshness::kLatest`, or the clock's epoch.
   MonotonicTime confirmed_latest_at() const;
 
   /// @return whether the last call failed.
   bool lost() const;
 
-  /// Sets the longest wait of the calls that follow. Must stay below the store's history.
+  /// Sets the longest wait of later calls. Must be shorter than the store's history.
   void set_wait(Duration wait);
 
-  /// Sets how long changes are gathered from the next batch on.
+  /// Sets the delay between a batch and the next call.
   void set_batch_delay(Duration batch_delay);
 
-  /// Sets the longest pause between calls that fail.
+  /// Sets the maximum backoff between failed calls.
   void set_max_backoff(Duration backoff);
 
-  /// Sets how fresh the answers of the calls that follow must be. Where others read the latest and
-  /// give hints, a watch may lag: a hint of something newer makes it ask for the latest.
+  /// Sets the freshness of later calls. `kMayLag` suffices where other nodes read the latest state
+  /// and give hints: a hint of a newer revision makes the watch request the latest.
   void set_freshness(Freshness freshness);
 
-  /// @return the revision of the newest change that this watch has seen; 0: none.
+  /// @return the newest revision of a change that this watch knows; 0: none.
   std::uint64_t newest_change() const;
 
-  /// Somebody else has seen a change at `revision`. Where no answer begins here soon, the call
-  /// under way is given up and made again: the store answers others, and this call is deaf. One
-  /// that is receiving goes on: what it brings is at most a change older, and asking again would
-  /// make the link carry it twice.
+  /// Reports that another node has seen a change at `revision`. If no answer begins within the hint
+  /// grace, the call in flight is cancelled and repeated. A call that is already receiving
+  /// continues, as repeating it would transfer the data twice.
   void hint(std::uint64_t revision);
 
-  /// Somebody else has brought the state as of `revision`: changes up to there are not asked for.
+  /// Reports that the state at `revision` came from elsewhere; earlier changes are not requested.
   void advance(std::uint64_t revision);
 
-  /// @return whether bytes of an answer have come that is not whole yet.
+  /// @return whether an answer has been received in part.
   bool receiving() const;
 
  private:
--- a/src/store/object_store.hpp
+++ b/src/store/object_store.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The port to a store of versioned objects: what the relay asks of it, whatever it speaks.
+/// Interface to a store of versioned objects, independent of its protocol.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,14 @@
 
 namespace shuntbank::store {
 
-/// An object as the store holds it.
+/// An object with its name and revision in the store.
 struct StoredObject {
   std::string name;
-  std::uint64_t revision = 0;  ///< The store's revision of the object's last change.
+  std::uint64_t revision = 0;  ///< Store revision of the object's last change.
   nlohmann::json content;
 };
 
-/// All objects of a kind as of one revision of the store.
+/// All objects of a kind at one revision of the store.
 struct ObjectList {
   std::vector<StoredObject> objects;
   std::uint64_t revision = 0;
@@ -33,44 +33,44 @@
   bool deleted = false;
 };
 
-/// Changes in their order, up to a revision of the store.
+/// Ordered changes up to a revision of the store.
 struct ChangeBatch {
   std::vector<ObjectChange> changes;
   std::uint64_t revision = 0;
   Duration transfer_time{};  ///< From its first byte to its last.
 };
 
-/// Why a call brought nothing.
+/// Why a call failed.
 enum class StoreError {
-  kNotDone,      ///< The store did nothing: refused, throttled, or not reached.
-  kUncertain,    ///< No answer: it may have been done, or may still be done.
-  kConflict,     ///< The object is not at the revision that was named, or exists already.
+  kNotDone,      ///< Refused, throttled or unreachable: the store did nothing.
+  kUncertain,    ///< No answer: the call may have taken or may yet take effect.
+  kConflict,     ///< The object has another revision than expected, or exists already.
   kMissing,      ///< No such object.
-  kHistoryGone,  ///< A watch from so old a revision cannot be answered; list again.
-  kMalformed,    ///< The answer cannot be read.
+  kHistoryGone,  ///< The revision is too old to watch from; list again.
+  kMalformed,    ///< The answer cannot be parsed.
 };
 
 /// @return a short name for logs and metrics.
 const char* to_text(StoreError error);
 
-/// How fresh an answer must be.
+/// Required consistency of an answer.
 enum class Freshness {
-  kLatest,  ///< Holds every change that the store acknowledged before the call.
-  kMayLag,  ///< May be seconds old, and costs the store little.
+  kLatest,  ///< Includes every change acknowledged before the call.
+  kMayLag,  ///< May be seconds old; cheaper for the store.
 };
 
 /// @return a short name for logs.
 const char* to_text(Freshness freshness);
 
-/// Names a call that is under way.
+/// Identifies a call in flight.
 using CallId = std::uint64_t;
 
 template <typename Value>
 using StoreHandler = std::function<void(tl::expected<Value, StoreError>)>;
 
-/// Calls to the store. Handlers are called on the loop, never before the call returns. The time
-/// limit of a list or a watch holds until its answer begins; how long that may take is for its size
-/// and the link to say, so that from there on only silence ends it.
+/// Asynchronous client of the store. Handlers are called on the loop, never before the call
+/// returns. The timeout of a list or a watch applies until the first byte of its answer; after that
+/// only an idle timeout applies, since the transfer time depends on the answer's size and the link.
 class ObjectStore {
  public:
   ObjectStore() = default;
@@ -82,28 +82,27 @@
   virtual CallId list(const std::string& kind, Freshness freshness, Duration timeout,
                       StoreHandler<ObjectList> handler) = 0;
 
-  /// Waits up to `wait` for changes behind `revision`.
+  /// Waits up to `wait` for changes after `revision`.
   virtual CallId watch(const std::string& kind, std::uint64_t revision, Freshness freshness,
                        Duration wait, Duration timeout, StoreHandler<ChangeBatch> handler) = 0;
 
-  /// @return bytes of the answer to a list or a watch that have come so far; 0: none, or the call
-  /// has ended.
+  /// @return bytes received so far of the answer to a list or a watch; 0 if none or if the call has
+  /// ended.
   virtual std::size_t received(CallId call) const = 0;
 
-  /// Gives a list or a watch up: its handler is not called, and what the store still sends of the
-  /// answer no longer fills the link.
+  /// Aborts a list or a watch and the transfer of its answer; its handler is not called.
   virtual void cancel(CallId call) = 0;
 
   /// Reads one object.
   virtual void read(const std::string& kind, const std::string& name, Duration timeout,
                     StoreHandler<StoredObject> handler) = 0;
 
-  /// Makes an object that must not exist yet. @return it, with its revision.
+  /// Creates an object that must not exist yet. Passes it with its revision to `handler`.
   virtual void create(const std::string& kind, const std::string& name,
                       const nlohmann::json& content, Duration timeout,
                       StoreHandler<StoredObject> handler) = 0;
 
-  /// Replaces an object that must be at `revision`. @return it, with its new revision.
+  /// Replaces an object that must be at `revision`. Passes it with its new revision to `handler`.
   virtual void replace(const std::string& kind, const std::string& name, std::uint64_t revision,
                        const nlohmann::json& content, Duration timeout,
                        StoreHandler<StoredObject> handler) = 0;
--- a/tests/net/http_client_test.cpp
+++ b/tests/net/http_client_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Answers the first request of each connection and drops the connection at the second, as an
-/// engine does that dies between two requests.
+/// Answers the first request of each connection and closes the connection on the second, like an
+/// engine that crashes between two requests.
 class DroppingServer {
  public:
   explicit DroppingServer(asio::io_context& loop)
@@ -48,7 +48,7 @@
   asio::ip::tcp::acceptor acceptor_;
 };
 
-/// Sends two requests, one after the other. @return requests that the server received.
+/// Sends two requests in sequence. @return the number of requests that the server received.
 int count_received_requests(bool fresh_connection) {
   asio::io_context loop;
   DroppingServer server(loop);
@@ -68,8 +68,8 @@
 
 }  // namespace
 
-// Why a request that may run once never goes over a reused connection: libcurl sends it again by
-// itself when that connection turns out to be dead, though the request was received.
+// Guards against a second run of a request: libcurl resends one by itself when a reused connection
+// turns out to be dead, even if the peer has received the request.
 Test(http_client, libcurl_resends_on_a_reused_connection_but_not_on_a_fresh_one) {
   cr_assert_eq(count_received_requests(false), 3);
   cr_assert_eq(count_received_requests(true), 2);
--- a/tests/store/kind_watch_test.cpp
+++ b/tests/store/kind_watch_test.cpp
@@ -29,8 +29,8 @@
   void start() {
     watch = std::make_unique<store::KindWatch>(runtime, store, "k", settings, handlers);
   }
-  /// Starts with one object and a long wait, and then changes the store without the watch under way
-  /// hearing of it.
+  /// Starts with one object and a long wait, then changes the store without notifying the watch in
+  /// flight.
   void start_and_miss_change(const std::string& name) {
     store.put("k", "a", {});
     settings.wait = 30s;
@@ -40,8 +40,8 @@
     store.put("k", name, {});
     store.deaf = false;
   }
-  /// Starts with one object and a long wait on answers that may lag, which then stand still while
-  /// the store changes.
+  /// Starts with one object, a long wait and `kMayLag`, then freezes the replica and changes the
+  /// store.
   void start_with_stale_replica(const std::string& name) {
     store.put("k", "a", {});
     settings.freshness = store::Freshness::kMayLag;
@@ -74,7 +74,7 @@
 }
 
 Test(kind_watch, batches_changes_that_come_close_together) {
-  // Seen at 98 machines before 996 engines: 150 calls a machine while the engines registered.
+  // Guards against a call per change while many engines register.
   WatchFixture fixture;
   fixture.start();
   fixture.runtime.advance(1ms);
@@ -105,7 +105,7 @@
   WatchFixture fixture;
   fixture.start_and_miss_change("b");
   fixture.runtime.advance(3s);
-  cr_assert_eq(fixture.names.count("b"), 0, "the call under way does not tell");
+  cr_assert_eq(fixture.names.count("b"), 0, "the call in flight misses the change");
   fixture.watch->hint(fixture.store.revision());
   fixture.runtime.advance(fixture.settings.hint_grace + 20ms);
   cr_assert_eq(fixture.names.count("b"), 1);
@@ -128,7 +128,7 @@
   fixture.watch->hint(fixture.store.revision());
   fixture.runtime.advance(fixture.settings.hint_grace + 20ms);
   fixture.store.remove("k", "b");
-  // The call that was given up wakes with both changes; the second has been seen by then.
+  // The cancelled call would return both changes after the second one is already known.
   fixture.runtime.advance(fixture.settings.batch_delay + 20ms);
   cr_assert_eq(fixture.names, std::set<std::string>{"a"});
 }
@@ -156,7 +156,7 @@
   cr_assert_leq(fixture.store.lists, 60);
   fixture.store.down = false;
   fixture.runtime.advance(2s);
-  cr_assert_eq(fixture.names.count("a"), 1, "found within two seconds");
+  cr_assert_eq(fixture.names.count("a"), 1, "listed within two seconds");
   cr_assert_not(fixture.watch->lost());
 }
 
@@ -185,7 +185,7 @@
   fixture.runtime.advance(1ms);
   cr_assert_eq(lists, std::vector<std::size_t>{1});
   cr_assert_eq(fixture.names, std::set<std::string>{"b"});
-  cr_assert_eq(fixture.store.latest_calls, 1, "one to confirm it, at a tenth of a list's price");
+  cr_assert_eq(fixture.store.latest_calls, 1, "one watch confirms the list");
 }
 
 Test(kind_watch, does_not_report_an_unconfirmed_list) {
@@ -195,7 +195,7 @@
   bool listed = false;
   fixture.handlers.on_list = [&](const auto&) { listed = true; };
   fixture.start();
-  fixture.store.down = true;  // The list is on its way, and the next call fails.
+  fixture.store.down = true;  // The list is in flight, and the next call fails.
   fixture.runtime.advance(1ms);
   cr_assert_not(listed);
   fixture.store.down = false;
@@ -228,7 +228,7 @@
   fixture.store.forget_history();
   fixture.store.replica_revision = 2;
   fixture.runtime.advance(10s);
-  cr_assert_eq(fixture.names, std::set<std::string>{"b"}, "though the replica still has a");
+  cr_assert_eq(fixture.names, std::set<std::string>{"b"}, "although the replica still has a");
 }
 
 Test(kind_watch, repeats_the_call_when_switched_to_latest) {
@@ -257,8 +257,7 @@
 }
 
 Test(kind_watch, does_not_request_the_latest_state_during_the_batch_delay) {
-  // Seen at 295 nodes: hints came while changes were gathered, and each call after that asked for
-  // the latest, at ten times the price.
+  // Guards against expensive calls for the latest state when hints arrive during the batch delay.
   WatchFixture fixture;
   fixture.settings.freshness = store::Freshness::kMayLag;
   fixture.settings.confirm_first_list = false;
--- a/tests/suspension/suspension_test.cpp
+++ b/tests/suspension/suspension_test.cpp
@@ -1,9 +1,5 @@
-// Seen: a machine may be suspended for seconds. The clock that timers usually rest on stands still
-// meanwhile, so that a process believes all it knows to be younger than it is by the length of it:
-// a lease that has passed, requests whose callers have given up, engines and nodes that were heard
-// of. Cause: all time of the product was that of such a clock. Proved by: these tests, whose
-// process is told that it was suspended: the clock of the time since boot jumps, the other one goes
-// on as if nothing had been.
+// Guards against a clock that stops while the machine is suspended: leases, deadlines and timeouts
+// would then outlive their time. Simulates suspension by advancing CLOCK_BOOTTIME alone.
 #include <criterion/criterion.h>
 #include <sys/syscall.h>
 #include <time.h>
@@ -17,12 +13,12 @@
 
 namespace {
 
-/// How long this machine has been suspended, in seconds.
+/// Simulated suspension in seconds.
 std::atomic<time_t> suspended_seconds{0};
 
 }  // namespace
 
-/// Stands before the system's own in this program.
+/// Replaces the system's function in this program.
 extern "C" int clock_gettime(clockid_t clock, timespec* now) {
   const long result = syscall(SYS_clock_gettime, clock, now);
   if (result == 0 && clock == CLOCK_BOOTTIME) now->tv_sec += suspended_seconds;
@@ -50,11 +46,11 @@
   cr_assert(holder.authority(monotonic_now()).has_value());
   suspended_seconds = 20;
   cr_assert_not(holder.authority(monotonic_now()).has_value(),
-                "a holder that wakes knows that it slept");
+                "the lease expires during suspension");
 }
 
 Test(suspension, fires_timers_that_became_due) {
-  // The process wakes for its next short timer, and finds the long one due as well.
+  // The overdue long timer fires when the loop wakes up for the short one.
   asio::io_context loop;
   AsioRuntime runtime(loop);
   bool long_timer_fired = false;
