--- a/src/net/http1_client.cpp
+++ b/src/net/http1_client.cpp
@@ -21,7 +21,7 @@
 namespace shuntbank {
 namespace {
 
-constexpr std::size_t kReadSize = 16UL << 10U;
+constexpr std::size_t kReadBufferSize = 16UL << 10U;
 constexpr std::string_view kScheme = "http://";
 
 /// Shortest life that `Keep-Alive` may name and still make the connection worth keeping.
@@ -39,7 +39,7 @@
 }
 
 /// @return the seconds that a `Keep-Alive` field tells, or nothing.
-std::optional<Duration> told_idle_timeout(const HttpHeaders& headers) {
+std::optional<Duration> parse_keep_alive_timeout(const HttpHeaders& headers) {
   const std::string_view field = headers.get("Keep-Alive");
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = field.find(kName);
@@ -79,21 +79,21 @@
 
 class PooledHttpClient::Impl : public std::enable_shared_from_this<PooledHttpClient::Impl> {
  public:
-  Impl(asio::io_context& own_loop, const PooledHttpClientSettings& bounds)
-      : loop(own_loop), settings(bounds) {}
+  Impl(asio::io_context& own_loop, const PooledHttpClientSettings& pool_settings)
+      : loop(own_loop), settings(pool_settings) {}
 
   TransferId start(OutgoingRequest request, TransferHandlers handlers);
   void cancel(TransferId id);
   void resume(TransferId id);
-  void keep(const std::shared_ptr<Connection>& connection);
-  void drop_idle(const Connection* connection);
-  void forget_peer(const std::string& address);
+  void add_idle(const std::shared_ptr<Connection>& connection);
+  void remove_idle(const Connection* connection);
+  void close_idle_connections(const std::string& address);
   void close();
 
   asio::io_context& loop;
   PooledHttpClientSettings settings;
   PooledHttpClientStats stats;
-  std::unordered_map<TransferId, std::shared_ptr<Connection>> busy;
+  std::unordered_map<TransferId, std::shared_ptr<Connection>> in_flight;
   std::unordered_map<std::string, std::vector<std::shared_ptr<Connection>>> idle;
   TransferId last_id = 0;
 };
@@ -112,7 +112,7 @@
 
   void begin(std::unique_ptr<Exchange> exchange) {
     exchange_ = std::move(exchange);
-    answered_ = false;
+    answer_complete_ = false;
     parser_.set_without_body(exchange_->request.method == "HEAD");
     started_at_ = monotonic_now();
     if (!connected_) return connect();
@@ -129,13 +129,13 @@
     std::error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
-    client_->drop_idle(this);
+    client_->remove_idle(this);
   }
 
   void resume() {
     if (closed_ || !std::exchange(paused_, false)) return;
-    if (!held_piece_.empty()) {
-      const std::string piece = std::exchange(held_piece_, {});
+    if (!undelivered_piece_.empty()) {
+      const std::string piece = std::exchange(undelivered_piece_, {});
       if (!deliver(piece)) return;
     }
     parse();
@@ -159,7 +159,7 @@
       return;
     }
     ++client_->stats.opened;
-    arm(exchange_->request.connect_timeout, "the connection could not be made in time");
+    arm_timer(exchange_->request.connect_timeout, "the connection could not be made in time");
     socket_.async_connect(*endpoint, [self = shared_from_this()](const std::error_code& error) {
       if (self->closed_) return;
       if (error) {
@@ -179,21 +179,21 @@
   void write() {
     const OutgoingRequest& request = exchange_->request;
     const Target target = split_url(request.url);
-    writing_ = request.method + " " + target.path + " HTTP/1.1\r\n";
-    if (request.headers.count("Host") == 0) writing_ += "Host: " + target.address + "\r\n";
+    write_buffer_ = request.method + " " + target.path + " HTTP/1.1\r\n";
+    if (request.headers.count("Host") == 0) write_buffer_ += "Host: " + target.address + "\r\n";
     for (const HttpHeader& field : request.headers.fields()) {
-      writing_ += field.name + ": " + field.value + "\r\n";
+      write_buffer_ += field.name + ": " + field.value + "\r\n";
     }
     const bool sized =
         !request.body.empty() || (request.method != "GET" && request.method != "HEAD");
-    if (sized) writing_ += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
-    writing_ += "\r\n";
-    writing_ += request.body;
+    if (sized) write_buffer_ += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+    write_buffer_ += "\r\n";
+    write_buffer_ += request.body;
     exchange_->request.body.clear();
     exchange_->bytes_sent = true;
-    arm_total();
+    arm_total_timeout();
     asio::async_write(
-        socket_, asio::buffer(writing_),
+        socket_, asio::buffer(write_buffer_),
         [self = shared_from_this(), id = exchange_->id](const std::error_code& error, std::size_t) {
           if (self->closed_ || !self->exchange_ || self->exchange_->id != id) return;
           // A failed write is found by the read, which may still hold an answer.
@@ -201,7 +201,7 @@
         });
   }
 
-  void arm_total() {
+  void arm_total_timeout() {
     const Duration total = exchange_->request.total_timeout;
     if (total <= Duration::zero()) {
       timer_.cancel();
@@ -210,16 +210,16 @@
     }
     const Duration elapsed = monotonic_now() - started_at_;
     const auto left = total - elapsed;
-    arm(std::max(left, Duration::zero()), "no whole answer in time");
+    arm_timer(std::max(left, Duration::zero()), "no whole answer in time");
   }
 
   /// Bytes have come: the answer is under way.
-  void arm_silence() {
+  void arm_silence_timeout() {
     const Duration silence = exchange_->request.answer_silence;
-    if (silence > Duration::zero()) arm(silence, "the answer broke off");
+    if (silence > Duration::zero()) arm_timer(silence, "the answer broke off");
   }
 
-  void arm(Duration delay, const char* message) {
+  void arm_timer(Duration delay, const char* message) {
     const std::uint64_t generation = ++timer_generation_;
     timer_.expires_after(delay);
     timer_.async_wait([weak = weak_from_this(), generation, message](const std::error_code& error) {
@@ -233,18 +233,18 @@
     if (closed_ || reading_) return;
     reading_ = true;
     socket_.async_read_some(
-        asio::buffer(buffer_),
+        asio::buffer(read_buffer_),
         [self = shared_from_this()](const std::error_code& error, std::size_t size) {
           self->reading_ = false;
           if (self->closed_) return;
-          if (error) return self->ended(error);
-          self->unparsed_.append(self->buffer_.data(), size);
+          if (error) return self->on_read_error(error);
+          self->unparsed_.append(self->read_buffer_.data(), size);
           if (!self->exchange_) {
             // Bytes on a connection that rests belong to nobody.
             ++self->client_->stats.surplus_answers;
             return self->close();
           }
-          self->arm_silence();
+          self->arm_silence_timeout();
           self->parse();
           if (!self->closed_ && !self->paused_) self->read();
         });
@@ -253,23 +253,23 @@
   void parse() {
     while (!closed_ && !paused_ && exchange_ && !unparsed_.empty()) {
       const std::string bytes = std::exchange(unparsed_, {});
-      const std::size_t taken = parser_.feed(bytes);
+      const std::size_t consumed = parser_.feed(bytes);
       if (closed_) return;
-      unparsed_ = bytes.substr(std::min(taken, bytes.size())) + unparsed_;
+      unparsed_ = bytes.substr(std::min(consumed, bytes.size())) + unparsed_;
       if (parser_.failure() != HttpParseFailure::kNone) return fail("the answer is no HTTP");
-      if (taken == 0) break;
+      if (consumed == 0) break;
     }
-    if (exchange_ && answered_) settle();
+    if (exchange_ && answer_complete_) complete();
   }
 
   void on_head(const HttpHead& head) {
     keep_alive_ = head.keep_alive;
-    idle_timeout_ = told_idle_timeout(head.headers).value_or(client_->settings.idle_timeout);
+    idle_timeout_ = parse_keep_alive_timeout(head.headers).value_or(client_->settings.idle_timeout);
     const bool interim = head.status < 200;
     const OutgoingRequest& request = exchange_->request;
-    const bool foreign = request.belongs && !request.belongs(head.status, head.headers);
-    skipping_ = interim || foreign;
-    if (foreign && !interim) ++client_->stats.surplus_answers;
+    const bool unmatched = request.belongs && !request.belongs(head.status, head.headers);
+    skipping_ = interim || unmatched;
+    if (unmatched && !interim) ++client_->stats.surplus_answers;
     if (skipping_) return;
     if (exchange_->handlers.on_headers) exchange_->handlers.on_headers(head.status, head.headers);
   }
@@ -284,7 +284,7 @@
   bool deliver(std::string_view piece) {
     if (exchange_->handlers.on_data(piece)) return !closed_;
     if (closed_) return false;
-    held_piece_ = piece;
+    undelivered_piece_ = piece;
     paused_ = true;
     return false;
   }
@@ -295,30 +295,30 @@
       skipping_ = false;
       return;
     }
-    answered_ = true;
-    settle();
+    answer_complete_ = true;
+    complete();
   }
 
   /// The answer is whole: tells the owner, and keeps the connection if nothing speaks against it.
-  void settle() {
+  void complete() {
     if (paused_) return;
     const std::unique_ptr<Exchange> exchange = std::move(exchange_);
-    answered_ = false;
-    client_->busy.erase(exchange->id);
+    answer_complete_ = false;
+    client_->in_flight.erase(exchange->id);
     timer_.cancel();
     ++timer_generation_;
-    const bool in_doubt = !exchange->written || exchange->request.fresh_connection;
-    if (keep_alive_ && !in_doubt && idle_timeout_ > kKeepAliveMargin) {
-      rest();
+    const bool not_reusable = !exchange->written || exchange->request.fresh_connection;
+    if (keep_alive_ && !not_reusable && idle_timeout_ > kKeepAliveMargin) {
+      return_to_pool();
     } else {
       close();
     }
     exchange->handlers.on_done({});
   }
 
-  void rest() {
-    arm(idle_timeout_ - kKeepAliveMargin, "");
-    client_->keep(shared_from_this());
+  void return_to_pool() {
+    arm_timer(idle_timeout_ - kKeepAliveMargin, "");
+    client_->add_idle(shared_from_this());
     // Bytes that came behind the answer are found when this turn of the loop is over.
     asio::post(client_->loop, [self = shared_from_this()] {
       if (self->closed_ || self->exchange_) return;
@@ -331,7 +331,7 @@
   }
 
   /// The peer has closed, or the connection broke.
-  void ended(const std::error_code& error) {
+  void on_read_error(const std::error_code& error) {
     if (!exchange_) return close();
     const bool clean = error == asio::error::eof;
     if (clean && !skipping_ && parser_.inside_message() && parser_.feed_end()) return;
@@ -343,16 +343,16 @@
     if (!exchange_) return close();
     const auto failure =
         exchange_->bytes_sent ? TransferFailure::kUncertain : TransferFailure::kNothingSent;
-    end_without_answer({failure, message, connection_refused});
+    finish_with_error({failure, message, connection_refused});
   }
 
   void withdraw() {
-    end_without_answer({TransferFailure::kWithdrawn, "no longer wanted there", false});
+    finish_with_error({TransferFailure::kWithdrawn, "no longer wanted there", false});
   }
 
-  void end_without_answer(TransferError error) {
+  void finish_with_error(TransferError error) {
     const std::unique_ptr<Exchange> exchange = std::move(exchange_);
-    client_->busy.erase(exchange->id);
+    client_->in_flight.erase(exchange->id);
     close();
     exchange->handlers.on_done(tl::make_unexpected(std::move(error)));
   }
@@ -364,10 +364,10 @@
   std::uint64_t timer_generation_ = 0;
   MonotonicTime started_at_;
   Http1Parser parser_;
-  std::array<char, kReadSize> buffer_{};
-  std::string writing_;
-  std::string unparsed_;    ///< Arrived and not yet parsed.
-  std::string held_piece_;  ///< Parsed, and refused by the owner for now.
+  std::array<char, kReadBufferSize> read_buffer_{};
+  std::string write_buffer_;
+  std::string unparsed_;           ///< Arrived and not yet parsed.
+  std::string undelivered_piece_;  ///< Parsed, and refused by the owner for now.
   std::unique_ptr<Exchange> exchange_;
   Duration idle_timeout_{};
   bool connected_ = false;
@@ -375,8 +375,8 @@
   bool reading_ = false;
   bool paused_ = false;
   bool keep_alive_ = false;
-  bool skipping_ = false;  ///< Inside an answer that does not belong to the request.
-  bool answered_ = false;  ///< The answer ended while the owner had paused.
+  bool skipping_ = false;         ///< Inside an answer that does not belong to the request.
+  bool answer_complete_ = false;  ///< The answer ended while the owner had paused.
 };
 
 TransferId PooledHttpClient::Impl::start(OutgoingRequest request, TransferHandlers handlers) {
@@ -387,64 +387,65 @@
   const bool fresh = request.fresh_connection;
   exchange->request = std::move(request);
   exchange->handlers = std::move(handlers);
-  auto& resting = idle[address];
+  auto& idle_connections = idle[address];
   std::shared_ptr<Connection> connection;
-  if (!fresh && !resting.empty()) {
-    connection = resting.back();
-    resting.pop_back();
+  if (!fresh && !idle_connections.empty()) {
+    connection = idle_connections.back();
+    idle_connections.pop_back();
     ++stats.reused;
   } else {
     connection = std::make_shared<Connection>(shared_from_this(), address);
   }
-  busy.emplace(id, connection);
+  in_flight.emplace(id, connection);
   connection->begin(std::move(exchange));
   return id;
 }
 
 void PooledHttpClient::Impl::cancel(TransferId id) {
-  const auto found = busy.find(id);
-  if (found == busy.end()) return;
+  const auto found = in_flight.find(id);
+  if (found == in_flight.end()) return;
   const auto connection = found->second;
-  busy.erase(found);
+  in_flight.erase(found);
   connection->close();
 }
 
 void PooledHttpClient::Impl::resume(TransferId id) {
   asio::post(loop, [self = shared_from_this(), id] {
-    const auto found = self->busy.find(id);
-    if (found == self->busy.end()) return;
+    const auto found = self->in_flight.find(id);
+    if (found == self->in_flight.end()) return;
     const auto connection = found->second;
     connection->resume();
   });
 }
 
-void PooledHttpClient::Impl::keep(const std::shared_ptr<Connection>& connection) {
-  auto& resting = idle[connection->address()];
-  resting.push_back(connection);
-  if (resting.size() <= settings.max_idle_per_peer) return;
-  const auto oldest = resting.front();
+void PooledHttpClient::Impl::add_idle(const std::shared_ptr<Connection>& connection) {
+  auto& idle_connections = idle[connection->address()];
+  idle_connections.push_back(connection);
+  if (idle_connections.size() <= settings.max_idle_per_peer) return;
+  const auto oldest = idle_connections.front();
   oldest->close();
 }
 
-void PooledHttpClient::Impl::drop_idle(const Connection* connection) {
+void PooledHttpClient::Impl::remove_idle(const Connection* connection) {
   const auto found = idle.find(connection->address());
   if (found == idle.end()) return;
-  std::erase_if(found->second, [&](const auto& resting) { return resting.get() == connection; });
+  std::erase_if(found->second,
+                [&](const auto& candidate) { return candidate.get() == connection; });
   if (found->second.empty()) idle.erase(found);
 }
 
-void PooledHttpClient::Impl::forget_peer(const std::string& address) {
+void PooledHttpClient::Impl::close_idle_connections(const std::string& address) {
   const auto found = idle.find(address);
   if (found == idle.end()) return;
-  const auto resting = found->second;
-  for (const auto& connection : resting) connection->close();
+  const auto idle_connections = found->second;
+  for (const auto& connection : idle_connections) connection->close();
 }
 
 void PooledHttpClient::Impl::close() {
-  const auto open = std::exchange(busy, {});
-  for (const auto& [id, connection] : open) connection->close();
-  const auto resting = std::exchange(idle, {});
-  for (const auto& [address, connections] : resting) {
+  const auto active = std::exchange(in_flight, {});
+  for (const auto& [id, connection] : active) connection->close();
+  const auto idle_connections = std::exchange(idle, {});
+  for (const auto& [address, connections] : idle_connections) {
     for (const auto& connection : connections) connection->close();
   }
 }
@@ -468,8 +469,8 @@
   impl_->resume(id);
 }
 
-void PooledHttpClient::forget_peer(const std::string& address) {
-  impl_->forget_peer(address);
+void PooledHttpClient::close_idle_connections(const std::string& address) {
+  impl_->close_idle_connections(address);
 }
 
 const PooledHttpClientStats& PooledHttpClient::stats() const {
--- a/src/net/http1_client.hpp
+++ b/src/net/http1_client.hpp
@@ -43,7 +43,7 @@
   void resume(TransferId id) override;
 
   /// Closes idle connections to a peer, `IP:PORT`, whose address may be given away.
-  void forget_peer(const std::string& address);
+  void close_idle_connections(const std::string& address);
 
   const PooledHttpClientStats& stats() const;
 
--- a/src/net/http1_parser.cpp
+++ b/src/net/http1_parser.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// What the library itself bounds; ours, which can differ from connection to connection, is below.
-constexpr std::uint32_t kLibraryHeaderBound = 1U << 20U;
+constexpr std::uint32_t kLibraryMaxHeaderBytes = 1U << 20U;
 
 /// Separators of one header line: colon, space, carriage return, line feed.
 constexpr std::size_t kFieldOverhead = 4;
 
 /// http_parser's value of `content_length` when none was given.
-constexpr std::uint64_t kNoLength = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t kUnknownLength = std::numeric_limits<std::uint64_t>::max();
 
 /// What http_parser takes from the callback behind the header fields.
 constexpr int kReadBody = 0;
@@ -25,7 +25,7 @@
 Http1Parser::Http1Parser(HttpMessageKind kind, std::size_t max_header_bytes,
                          HttpParserHandlers handlers)
     : max_header_bytes_(max_header_bytes), handlers_(std::move(handlers)) {
-  http_parser_set_max_header_size(kLibraryHeaderBound);
+  http_parser_set_max_header_size(kLibraryMaxHeaderBytes);
   http_parser_init(&parser_, kind == HttpMessageKind::kRequest ? HTTP_REQUEST : HTTP_RESPONSE);
   parser_.data = this;
 }
@@ -36,42 +36,42 @@
 
 const http_parser_settings& Http1Parser::callbacks() {
   static const http_parser_settings settings = [] {
-    http_parser_settings made;
-    http_parser_settings_init(&made);
-    made.on_message_begin = [](http_parser* parser) {
+    http_parser_settings result;
+    http_parser_settings_init(&result);
+    result.on_message_begin = [](http_parser* parser) {
       self(parser).begin_message();
       return 0;
     };
-    made.on_url = [](http_parser* parser, const char* at, std::size_t length) {
-      Http1Parser& own = self(parser);
-      return own.on_header_text({at, length}, own.head_.target);
+    result.on_url = [](http_parser* parser, const char* at, std::size_t length) {
+      Http1Parser& instance = self(parser);
+      return instance.on_header_text({at, length}, instance.head_.target);
     };
-    made.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
-      Http1Parser& own = self(parser);
-      if (own.value_seen_) own.finish_field();
-      return own.on_header_text({at, length}, own.field_name_);
+    result.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
+      Http1Parser& instance = self(parser);
+      if (instance.value_seen_) instance.finish_field();
+      return instance.on_header_text({at, length}, instance.field_name_);
     };
-    made.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
-      Http1Parser& own = self(parser);
-      own.value_seen_ = true;
-      return own.on_header_text({at, length}, own.field_value_);
+    result.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
+      Http1Parser& instance = self(parser);
+      instance.value_seen_ = true;
+      return instance.on_header_text({at, length}, instance.field_value_);
     };
-    made.on_headers_complete = [](http_parser* parser) { return self(parser).finish_head(); };
-    made.on_body = [](http_parser* parser, const char* at, std::size_t length) {
-      Http1Parser& own = self(parser);
-      if (own.handlers_.on_body({at, length})) return 0;
-      own.stop_ = true;
+    result.on_headers_complete = [](http_parser* parser) { return self(parser).finish_head(); };
+    result.on_body = [](http_parser* parser, const char* at, std::size_t length) {
+      Http1Parser& instance = self(parser);
+      if (instance.handlers_.on_body({at, length})) return 0;
+      instance.paused_ = true;
       http_parser_pause(parser, 1);
       return 0;
     };
-    made.on_message_complete = [](http_parser* parser) {
-      Http1Parser& own = self(parser);
-      own.inside_ = false;
-      own.stop_ = true;
+    result.on_message_complete = [](http_parser* parser) {
+      Http1Parser& instance = self(parser);
+      instance.inside_message_ = false;
+      instance.paused_ = true;
       http_parser_pause(parser, 1);
       return 0;
     };
-    return made;
+    return result;
   }();
   return settings;
 }
@@ -82,16 +82,16 @@
   field_value_.clear();
   header_bytes_ = 0;
   value_seen_ = false;
-  inside_ = true;
+  inside_message_ = true;
 }
 
-int Http1Parser::on_header_text(std::string_view piece, std::string& target) {
+int Http1Parser::on_header_text(std::string_view piece, std::string& output) {
   header_bytes_ += piece.size();
   if (header_bytes_ > max_header_bytes_) {
     failure_ = HttpParseFailure::kHeaderTooLarge;
     return 1;
   }
-  target.append(piece);
+  output.append(piece);
   return 0;
 }
 
@@ -119,8 +119,8 @@
     head_.status = static_cast<int>(parser_.status_code);
   }
   const bool chunked = (parser_.flags & F_CHUNKED) != 0;
-  head_.has_length = chunked || parser_.content_length != kNoLength;
-  head_.length = parser_.content_length == kNoLength ? 0 : parser_.content_length;
+  head_.self_delimiting = chunked || parser_.content_length != kUnknownLength;
+  head_.content_length = parser_.content_length == kUnknownLength ? 0 : parser_.content_length;
   head_.keep_alive = http_should_keep_alive(&parser_) != 0;
   handlers_.on_head(std::move(head_));
   return without_body_ ? kSkipBody : kReadBody;
@@ -128,25 +128,26 @@
 
 std::size_t Http1Parser::feed(std::string_view bytes) {
   if (failure_ != HttpParseFailure::kNone) return 0;
-  stop_ = false;
-  const std::size_t taken = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
+  paused_ = false;
+  const std::size_t consumed =
+      http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
   const auto error = static_cast<http_errno>(parser_.http_errno);
   if (error == HPE_PAUSED) {
     http_parser_pause(&parser_, 0);
   } else if (error != HPE_OK) {
     if (failure_ == HttpParseFailure::kNone) failure_ = HttpParseFailure::kMalformed;
-    return taken;
+    return consumed;
   }
-  if (stop_ && !inside_) handlers_.on_end();
-  return taken;
+  if (paused_ && !inside_message_) handlers_.on_end();
+  return consumed;
 }
 
 bool Http1Parser::feed_end() {
   if (failure_ != HttpParseFailure::kNone) return false;
-  if (!inside_) return true;
-  stop_ = false;
+  if (!inside_message_) return true;
+  paused_ = false;
   http_parser_execute(&parser_, &callbacks(), nullptr, 0);
-  if (inside_ || !stop_) return false;
+  if (inside_message_ || !paused_) return false;
   handlers_.on_end();
   return true;
 }
--- a/src/net/http1_parser.hpp
+++ b/src/net/http1_parser.hpp
@@ -30,9 +30,9 @@
   std::string target;  ///< Requests only; byte for byte.
   int status = 0;      ///< Responses only.
   HttpHeaders headers;
-  bool keep_alive = true;    ///< Whether the connection may carry another message.
-  bool has_length = false;   ///< Whether the end of the body can be told without the close.
-  std::uint64_t length = 0;  ///< Of the body, when `has_length` and not in chunks.
+  bool keep_alive = true;            ///< Whether the connection may carry another message.
+  bool self_delimiting = false;      ///< Whether the end of the body can be told without the close.
+  std::uint64_t content_length = 0;  ///< Of the body, when `self_delimiting` and not in chunks.
 };
 
 /// What a parser tells its owner, in the order of the bytes.
@@ -63,7 +63,7 @@
   HttpParseFailure failure() const { return failure_; }
 
   /// @return whether a message has begun and has not ended.
-  bool inside_message() const { return inside_; }
+  bool inside_message() const { return inside_message_; }
 
   /// The next response has no body whatever its fields say: it answers HEAD.
   void set_without_body(bool without_body) { without_body_ = without_body; }
@@ -73,7 +73,7 @@
  private:
   static Http1Parser& self(http_parser* parser);
   static const http_parser_settings& callbacks();
-  int on_header_text(std::string_view piece, std::string& target);
+  int on_header_text(std::string_view piece, std::string& output);
   int finish_field();
   int finish_head();
   void begin_message();
@@ -87,8 +87,8 @@
   std::string field_value_;
   std::size_t header_bytes_ = 0;
   bool value_seen_ = false;
-  bool inside_ = false;
-  bool stop_ = false;
+  bool inside_message_ = false;
+  bool paused_ = false;
   bool without_body_ = false;
 };
 
--- a/src/net/http1_server.cpp
+++ b/src/net/http1_server.cpp
@@ -14,14 +14,14 @@
 namespace shuntbank {
 namespace {
 
-constexpr std::size_t kReadSize = 16UL << 10U;
+constexpr std::size_t kReadBufferSize = 16UL << 10U;
 
 /// Bytes behind a request that are kept while it runs; a caller who sends more waits.
 constexpr std::size_t kMaxPipelinedBytes = 64UL << 10U;
 
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-std::string chunk(std::string_view piece) {
+std::string format_chunk(std::string_view piece) {
   std::array<char, 20> size{};
   const int length = std::snprintf(size.data(), size.size(), "%zx\r\n", piece.size());
   std::string text(size.data(), static_cast<std::size_t>(length));
@@ -44,12 +44,13 @@
 /// State shared by all connections of a server.
 class Http1Server::Impl : public std::enable_shared_from_this<Http1Server::Impl> {
  public:
-  Impl(asio::io_context& own_loop, const Http1ServerSettings& bounds, ConnectionHandler answer)
+  Impl(asio::io_context& own_loop, const Http1ServerSettings& server_settings,
+       ConnectionHandler connection_handler)
       : loop(own_loop),
-        settings(bounds),
-        handler(std::move(answer)),
+        settings(server_settings),
+        handler(std::move(connection_handler)),
         acceptor(own_loop),
-        accept_pause(own_loop) {
+        accept_retry_timer(own_loop) {
     acceptor.open(settings.listen.protocol());
     acceptor.set_option(asio::socket_base::reuse_address(true));
     acceptor.bind(settings.listen);
@@ -57,7 +58,7 @@
   }
 
   void accept();
-  void connection_gone(const std::shared_ptr<Connection>& connection);
+  void on_connection_closed(const std::shared_ptr<Connection>& connection);
   void close();
   void drain();
 
@@ -66,11 +67,11 @@
   ConnectionHandler handler;
   CallerLimits limits;
   asio::ip::tcp::acceptor acceptor;
-  MonotonicTimer accept_pause;
+  MonotonicTimer accept_retry_timer;
   std::unordered_set<std::shared_ptr<Connection>> connections;
   std::size_t buffered_bytes = 0;  ///< Of all request bodies.
   bool accepting = false;
-  bool closing_after_answers = false;
+  bool keep_alive_disabled = false;
   Http1ServerStats stats;
 };
 
@@ -89,7 +90,7 @@
   }
 
   void start() {
-    wait_for(server_->limits.idle_timeout);
+    arm_timer(server_->limits.idle_timeout);
     read();
   }
 
@@ -97,9 +98,9 @@
   void close_when_idle() {
     close_after_answer_ = true;
     // An answer that has ended may still be on its way to the kernel; it closes when it is sent.
-    const bool sending = answered_ || pending_bytes() > 0;
+    const bool sending = reply_ended_ || pending_bytes() > 0;
     const bool receiving = parser_.inside_message() || !unparsed_.empty();
-    if (!exchange_open_ && !sending && !receiving) close();
+    if (!reply_pending_ && !sending && !receiving) close();
   }
 
   void close() {
@@ -108,33 +109,33 @@
     timer_.cancel();
     socket_.close(ignored);
     release_body();
-    drained_ = nullptr;
-    const auto gone = std::exchange(gone_, nullptr);
-    server_->connection_gone(shared_from_this());
-    if (gone) gone();
+    drained_handler_ = nullptr;
+    const auto closed_handler = std::exchange(closed_handler_, nullptr);
+    server_->on_connection_closed(shared_from_this());
+    if (closed_handler) closed_handler();
   }
 
   // What the responder calls.
   void respond(const HttpReply& reply) {
-    std::string text = head(reply.status, reply.headers);
+    std::string text = format_head(reply.status, reply.headers);
     text += "Content-Length: " + std::to_string(reply.body.size()) + "\r\n\r\n";
-    if (!head_request_) text += reply.body;
-    end_exchange();
+    if (!is_head_request_) text += reply.body;
+    end_reply();
     send(text);
   }
   void begin_stream(int status, const HttpHeaders& headers) {
-    send(head(status, headers) + "Transfer-Encoding: chunked\r\n\r\n");
+    send(format_head(status, headers) + "Transfer-Encoding: chunked\r\n\r\n");
   }
   void write_piece(std::string_view piece) {
-    if (!piece.empty() && !head_request_) send(chunk(piece));
+    if (!piece.empty() && !is_head_request_) send(format_chunk(piece));
   }
   void finish_stream() {
-    end_exchange();
-    send(head_request_ ? std::string() : std::string(kLastChunk));
+    end_reply();
+    send(is_head_request_ ? std::string() : std::string(kLastChunk));
   }
-  std::size_t pending_bytes() const { return outgoing_.size() + writing_.size(); }
-  void on_drained(std::function<void()> handler) { drained_ = std::move(handler); }
-  void on_gone(std::function<void()> handler) { gone_ = std::move(handler); }
+  std::size_t pending_bytes() const { return outgoing_.size() + write_buffer_.size(); }
+  void on_drained(std::function<void()> handler) { drained_handler_ = std::move(handler); }
+  void on_closed(std::function<void()> handler) { closed_handler_ = std::move(handler); }
   bool closed() const { return closed_; }
 
  private:
@@ -150,56 +151,56 @@
     if (closed_ || reading_) return;
     reading_ = true;
     socket_.async_read_some(
-        asio::buffer(buffer_),
+        asio::buffer(read_buffer_),
         [self = shared_from_this()](const std::error_code& error, std::size_t size) {
           self->reading_ = false;
           if (self->closed_) return;
           if (error) return self->close();
-          self->received(std::string_view(self->buffer_.data(), size));
+          self->on_received(std::string_view(self->read_buffer_.data(), size));
         });
   }
 
-  void received(std::string_view bytes) {
+  void on_received(std::string_view bytes) {
     if (lingering_) return read();
     unparsed_ += bytes;
     parse();
     if (closed_) return;
-    if (!exchange_open_ || unparsed_.size() < kMaxPipelinedBytes) read();
+    if (!reply_pending_ || unparsed_.size() < kMaxPipelinedBytes) read();
   }
 
   /// Parses what has arrived, as far as the end of one request.
   void parse() {
-    while (!closed_ && !exchange_open_ && !lingering_ && !unparsed_.empty()) {
-      const bool begun = parser_.inside_message();
+    while (!closed_ && !reply_pending_ && !lingering_ && !unparsed_.empty()) {
+      const bool message_started = parser_.inside_message();
       const std::string bytes = std::exchange(unparsed_, {});
-      const std::size_t taken = parser_.feed(bytes);
+      const std::size_t consumed = parser_.feed(bytes);
       if (closed_) return;
-      unparsed_ = bytes.substr(std::min(taken, bytes.size())) + unparsed_;
-      if (parser_.failure() != HttpParseFailure::kNone) return reject_failure();
-      if (rejection_ != 0) return reject(rejection_);
-      if (exchange_open_) return;
-      if (!begun && parser_.inside_message() && !head_seen_) {
-        wait_for(server_->limits.header_timeout);
+      unparsed_ = bytes.substr(std::min(consumed, bytes.size())) + unparsed_;
+      if (parser_.failure() != HttpParseFailure::kNone) return reject_parse_failure();
+      if (rejection_status_ != 0) return reject(rejection_status_);
+      if (reply_pending_) return;
+      if (!message_started && parser_.inside_message() && !head_parsed_) {
+        arm_timer(server_->limits.header_timeout);
       }
-      if (taken == 0) return;
+      if (consumed == 0) return;
     }
   }
 
   void on_head(HttpHead head) {
-    head_seen_ = true;
+    head_parsed_ = true;
     request_ = HttpRequest();
     request_.method = std::move(head.method);
     request_.target = std::move(head.target);
-    const std::size_t mark = request_.target.find('?');
-    request_.path = request_.target.substr(0, mark);
-    if (mark != std::string::npos) request_.query = request_.target.substr(mark + 1);
+    const std::size_t query_mark = request_.target.find('?');
+    request_.path = request_.target.substr(0, query_mark);
+    if (query_mark != std::string::npos) request_.query = request_.target.substr(query_mark + 1);
     request_.headers = std::move(head.headers);
     request_.caller = caller_;
     keep_alive_ = head.keep_alive;
-    head_request_ = request_.method == "HEAD";
-    wait_for(server_->limits.idle_timeout);
-    if (head.length > server_->limits.max_body_bytes) {
-      rejection_ = http_status::kContentTooLarge;
+    is_head_request_ = request_.method == "HEAD";
+    arm_timer(server_->limits.idle_timeout);
+    if (head.content_length > server_->limits.max_body_bytes) {
+      rejection_status_ = http_status::kContentTooLarge;
       return;
     }
     if (equal_ignoring_case(request_.headers.get("Expect"), "100-continue")) {
@@ -208,25 +209,25 @@
   }
 
   bool on_body(std::string_view piece) {
-    if (rejection_ != 0) return false;
+    if (rejection_status_ != 0) return false;
     if (request_.body.size() + piece.size() > server_->limits.max_body_bytes) {
-      rejection_ = http_status::kContentTooLarge;
+      rejection_status_ = http_status::kContentTooLarge;
       return false;
     }
     if (server_->buffered_bytes + piece.size() > server_->settings.max_buffered_bytes) {
-      rejection_ = http_status::kServiceUnavailable;
+      rejection_status_ = http_status::kServiceUnavailable;
       return false;
     }
     request_.body += piece;
     body_bytes_ += piece.size();
     server_->buffered_bytes += piece.size();
-    wait_for(server_->limits.idle_timeout);
+    arm_timer(server_->limits.idle_timeout);
     return true;
   }
 
   void on_request();
 
-  void reject_failure() {
+  void reject_parse_failure() {
     const bool large = parser_.failure() == HttpParseFailure::kHeaderTooLarge;
     reject(large ? http_status::kHeadersTooLarge : http_status::kBadRequest);
   }
@@ -238,16 +239,16 @@
     close_after_answer_ = true;
     lingering_ = true;
     unparsed_.clear();
-    std::string text = head(status, {});
+    std::string text = format_head(status, {});
     text += "Content-Length: 0\r\n\r\n";
     outgoing_ += text;
     shutdown_when_sent_ = true;
     flush();
-    wait_for(server_->settings.linger_timeout);
+    arm_timer(server_->settings.linger_timeout);
   }
 
-  std::string head(int status, const HttpHeaders& headers) {
-    const bool closes = close_after_answer_ || server_->closing_after_answers || !keep_alive_;
+  std::string format_head(int status, const HttpHeaders& headers) {
+    const bool closes = close_after_answer_ || server_->keep_alive_disabled || !keep_alive_;
     if (closes) close_after_answer_ = true;
     std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
     text += http_status::reason(status);
@@ -257,12 +258,12 @@
     return text;
   }
 
-  void end_exchange() {
-    exchange_open_ = false;
-    gone_ = nullptr;
-    drained_ = nullptr;
+  void end_reply() {
+    reply_pending_ = false;
+    closed_handler_ = nullptr;
+    drained_handler_ = nullptr;
     release_body();
-    answered_ = true;
+    reply_ended_ = true;
   }
 
   void release_body() { server_->buffered_bytes -= std::exchange(body_bytes_, 0); }
@@ -274,43 +275,43 @@
   }
 
   void flush() {
-    if (closed_ || !writing_.empty()) return;
-    if (outgoing_.empty()) return sent_all();
-    writing_ = std::exchange(outgoing_, {});
+    if (closed_ || !write_buffer_.empty()) return;
+    if (outgoing_.empty()) return on_all_sent();
+    write_buffer_ = std::exchange(outgoing_, {});
     if (!write_deadline_armed_) {
       write_deadline_armed_ = true;
-      wait_for(server_->settings.write_timeout);
+      arm_timer(server_->settings.write_timeout);
     }
-    asio::async_write(socket_, asio::buffer(writing_),
+    asio::async_write(socket_, asio::buffer(write_buffer_),
                       [self = shared_from_this()](const std::error_code& error, std::size_t) {
-                        self->writing_.clear();
+                        self->write_buffer_.clear();
                         self->write_deadline_armed_ = false;
                         if (self->closed_) return;
                         if (error) return self->close();
-                        self->written();
+                        self->on_written();
                       });
   }
 
-  void written() {
-    if (exchange_open_) {
+  void on_written() {
+    if (reply_pending_) {
       timer_.cancel();
     } else {
-      wait_for(server_->limits.idle_timeout);
+      arm_timer(server_->limits.idle_timeout);
     }
     flush();
   }
 
-  void sent_all() {
+  void on_all_sent() {
     if (shutdown_when_sent_) return linger();
-    if (std::exchange(answered_, false)) return next_request();
-    const auto handler = drained_;
+    if (std::exchange(reply_ended_, false)) return next_request();
+    const auto handler = drained_handler_;
     if (handler) handler();
   }
 
   void next_request() {
     if (close_after_answer_) return linger();
-    wait_for(server_->limits.idle_timeout);
-    head_seen_ = false;
+    arm_timer(server_->limits.idle_timeout);
+    head_parsed_ = false;
     parser_.set_max_header_bytes(server_->limits.max_header_bytes);
     parse();
     if (!closed_) read();
@@ -322,23 +323,23 @@
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     lingering_ = true;
     unparsed_.clear();
-    wait_for(server_->settings.linger_timeout);
+    arm_timer(server_->settings.linger_timeout);
     read();
   }
 
-  void wait_for(Duration duration) {
+  void arm_timer(Duration duration) {
     const std::uint64_t generation = ++timer_generation_;
     timer_.expires_after(duration);
     timer_.async_wait([weak = weak_from_this(), generation](const std::error_code& error) {
       const auto self = weak.lock();
       if (error || !self || self->closed_ || self->timer_generation_ != generation) return;
-      self->timed_out();
+      self->on_timeout();
     });
   }
 
-  void timed_out() {
-    if (!writing_.empty() || lingering_) return close();
-    if (exchange_open_) return;
+  void on_timeout() {
+    if (!write_buffer_.empty() || lingering_) return close();
+    if (reply_pending_) return;
     if (parser_.inside_message()) return reject(http_status::kRequestTimeout);
     close();
   }
@@ -349,22 +350,22 @@
   MonotonicTimer timer_;
   std::uint64_t timer_generation_ = 0;
   Http1Parser parser_;
-  std::array<char, kReadSize> buffer_{};
-  std::string unparsed_;  ///< Arrived and not yet parsed.
-  std::string outgoing_;  ///< To be sent behind `writing_`.
-  std::string writing_;   ///< Being handed to the kernel.
+  std::array<char, kReadBufferSize> read_buffer_{};
+  std::string unparsed_;      ///< Arrived and not yet parsed.
+  std::string outgoing_;      ///< To be sent behind `write_buffer_`.
+  std::string write_buffer_;  ///< Being handed to the kernel.
   HttpRequest request_;
   std::size_t body_bytes_ = 0;
-  int rejection_ = 0;  ///< Status with which the request is refused; 0: none.
-  std::function<void()> drained_;
-  std::function<void()> gone_;
+  int rejection_status_ = 0;  ///< Status with which the request is refused; 0: none.
+  std::function<void()> drained_handler_;
+  std::function<void()> closed_handler_;
   bool reading_ = false;
   bool closed_ = false;
-  bool head_seen_ = false;
+  bool head_parsed_ = false;
   bool keep_alive_ = true;
-  bool head_request_ = false;
-  bool exchange_open_ = false;  ///< A request was handed over and its reply has not ended.
-  bool answered_ = false;       ///< The reply has ended and is being sent.
+  bool is_head_request_ = false;
+  bool reply_pending_ = false;  ///< A request was handed over and its reply has not ended.
+  bool reply_ended_ = false;    ///< The reply has ended and is being sent.
   bool close_after_answer_ = false;
   bool shutdown_when_sent_ = false;
   bool lingering_ = false;
@@ -377,7 +378,7 @@
   explicit Responder(const std::shared_ptr<Connection>& connection) : connection_(connection) {}
   ~Responder() override {
     if (ended_) return;
-    if (begun_) {
+    if (streaming_) {
       abort();
     } else {
       respond({http_status::kInternalError, {}, ""});
@@ -387,54 +388,54 @@
   Responder& operator=(const Responder&) = delete;
 
   void respond(HttpReply reply) override {
-    if (const auto connection = end()) connection->respond(reply);
+    if (const auto connection = end_reply()) connection->respond(reply);
   }
   void begin_stream(int status, const HttpHeaders& headers) override {
-    begun_ = true;
-    if (const auto connection = open()) connection->begin_stream(status, headers);
+    streaming_ = true;
+    if (const auto connection = active_connection()) connection->begin_stream(status, headers);
   }
   void write(std::string_view piece) override {
-    if (const auto connection = open()) connection->write_piece(piece);
+    if (const auto connection = active_connection()) connection->write_piece(piece);
   }
   std::size_t pending_bytes() const override {
     const auto connection = connection_.lock();
     return connection && !ended_ ? connection->pending_bytes() : 0;
   }
   void on_drained(std::function<void()> handler) override {
-    if (const auto connection = open()) connection->on_drained(std::move(handler));
+    if (const auto connection = active_connection()) connection->on_drained(std::move(handler));
   }
   void finish() override {
-    if (const auto connection = end()) connection->finish_stream();
+    if (const auto connection = end_reply()) connection->finish_stream();
   }
   void on_closed(std::function<void()> handler) override {
-    if (const auto connection = open()) connection->on_gone(std::move(handler));
+    if (const auto connection = active_connection()) connection->on_closed(std::move(handler));
   }
   void abort() override {
-    const auto connection = end();
+    const auto connection = end_reply();
     if (!connection) return;
-    connection->on_gone(nullptr);
+    connection->on_closed(nullptr);
     connection->close();
   }
 
  private:
-  std::shared_ptr<Connection> open() const {
+  std::shared_ptr<Connection> active_connection() const {
     auto connection = connection_.lock();
     return ended_ || !connection || connection->closed() ? nullptr : connection;
   }
-  std::shared_ptr<Connection> end() {
-    auto connection = open();
+  std::shared_ptr<Connection> end_reply() {
+    auto connection = active_connection();
     ended_ = true;
     return connection;
   }
 
   std::weak_ptr<Connection> connection_;
-  bool begun_ = false;
+  bool streaming_ = false;
   bool ended_ = false;
 };
 
 void Http1Server::Connection::on_request() {
-  if (rejection_ != 0) return;
-  exchange_open_ = true;
+  if (rejection_status_ != 0) return;
+  reply_pending_ = true;
   timer_.cancel();
   ++timer_generation_;
   server_->handler(std::move(request_), std::make_shared<Responder>(shared_from_this()));
@@ -456,12 +457,12 @@
           return self->accept();
         }
         // Without descriptors each try fails at once; a pause keeps the loop free.
-        self->accept_pause.expires_after(std::chrono::milliseconds(50));
-        self->accept_pause.async_wait([self](const std::error_code&) { self->accept(); });
+        self->accept_retry_timer.expires_after(std::chrono::milliseconds(50));
+        self->accept_retry_timer.async_wait([self](const std::error_code&) { self->accept(); });
       });
 }
 
-void Http1Server::Impl::connection_gone(const std::shared_ptr<Connection>& connection) {
+void Http1Server::Impl::on_connection_closed(const std::shared_ptr<Connection>& connection) {
   connections.erase(connection);
   stats.open_connections = connections.size();
   accept();
@@ -500,8 +501,8 @@
   impl_->limits = limits;
 }
 
-void Http1Server::close_after_answers() {
-  impl_->closing_after_answers = true;
+void Http1Server::disable_keep_alive() {
+  impl_->keep_alive_disabled = true;
 }
 
 void Http1Server::drain() {
--- a/src/net/http1_server.hpp
+++ b/src/net/http1_server.hpp
@@ -66,7 +66,7 @@
   void set_limits(const CallerLimits& limits);
 
   /// From now on each answer ends its connection. Connections stay open until then.
-  void close_after_answers();
+  void disable_keep_alive();
 
   /// Stops listening and closes connections that rest; others close behind their answers.
   void drain();
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -83,7 +83,8 @@
       report_usage();
     }
     node_.on_adopted([this](const RouteTable& table) { take_limits(table); });
-    node_.on_address_free([this](const std::string& address) { http_.forget_peer(address); });
+    node_.on_address_free(
+        [this](const std::string& address) { http_.close_idle_connections(address); });
     for (const std::string& address : {addresses.ready, addresses.control, addresses.metrics}) {
       if (!address.empty()) serve_state(loop, address, address == addresses.control);
     }
@@ -106,7 +107,7 @@
     stop_began_ = runtime_.now();
     node_.begin_stop();
     lease_.stop();
-    callers_.close_after_answers();
+    callers_.disable_keep_alive();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopping", {{"under_way", node_.under_way()}});
     stop_timer_ = std::make_unique<Periodic>(runtime_, kStopTick, [this] { stop_tick(); });
   }
--- a/tests/net/http1_edges_test.cpp
+++ b/tests/net/http1_edges_test.cpp
@@ -23,17 +23,17 @@
 }
 
 /// Sends bytes, then reads until the server closes; the loop runs meanwhile.
-std::string talk(asio::io_context& loop, const asio::ip::tcp::endpoint& server,
-                 const std::string& bytes, bool end_after_send = false) {
+std::string exchange_raw(asio::io_context& loop, const asio::ip::tcp::endpoint& server,
+                         const std::string& bytes, bool end_after_send = false) {
   asio::ip::tcp::socket socket(loop);
   std::string received;
   std::array<char, 4096> buffer{};
-  bool over = false;
+  bool done = false;
   std::function<void()> read = [&] {
     socket.async_read_some(asio::buffer(buffer), [&](const std::error_code& error, std::size_t n) {
       received.append(buffer.data(), n);
       if (error) {
-        over = true;
+        done = true;
       } else {
         read();
       }
@@ -46,7 +46,7 @@
     });
     read();
   });
-  while (!over) loop.run_one();
+  while (!done) loop.run_one();
   return received;
 }
 
@@ -74,13 +74,13 @@
 /// A peer whose connections are scripted: what it sends after each request head that it has read.
 class ScriptedPeer {
  public:
-  struct Turn {
+  struct Step {
     std::string bytes;
     bool close = false;
     bool reset = false;
   };
 
-  ScriptedPeer(asio::io_context& loop, std::vector<std::vector<Turn>> connections)
+  ScriptedPeer(asio::io_context& loop, std::vector<std::vector<Step>> connections)
       : acceptor_(loop, kAnyPort), connections_(std::move(connections)) {
     accept();
   }
@@ -91,75 +91,79 @@
   int received = 0;
 
  private:
-  struct Open {
-    explicit Open(asio::ip::tcp::socket taken) : socket(std::move(taken)) {}
+  struct OpenConnection {
+    explicit OpenConnection(asio::ip::tcp::socket accepted_socket)
+        : socket(std::move(accepted_socket)) {}
     asio::ip::tcp::socket socket;
     std::string buffer;
-    std::vector<Turn> turns;
+    std::vector<Step> steps;
     std::size_t next = 0;
   };
   void accept() {
     acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
       if (error) return;
-      auto open = std::make_shared<Open>(std::move(socket));
-      open->turns = connections_.at(std::min<std::size_t>(accepted++, connections_.size() - 1));
-      serve(open);
+      auto connection = std::make_shared<OpenConnection>(std::move(socket));
+      connection->steps =
+          connections_.at(std::min<std::size_t>(accepted++, connections_.size() - 1));
+      serve(connection);
       accept();
     });
   }
-  void serve(const std::shared_ptr<Open>& open) {
-    asio::async_read_until(open->socket, asio::dynamic_buffer(open->buffer), "\r\n\r\n",
-                           [this, open](const std::error_code& error, std::size_t size) {
+  void serve(const std::shared_ptr<OpenConnection>& connection) {
+    asio::async_read_until(connection->socket, asio::dynamic_buffer(connection->buffer), "\r\n\r\n",
+                           [this, connection](const std::error_code& error, std::size_t size) {
                              if (error) return;
-                             open->buffer.erase(0, size);
+                             connection->buffer.erase(0, size);
                              ++received;
-                             play(open);
+                             send_next(connection);
                            });
   }
-  void play(const std::shared_ptr<Open>& open) {
-    const Turn turn = open->next < open->turns.size() ? open->turns[open->next++] : Turn{"", true};
-    if (!turn.bytes.empty()) asio::write(open->socket, asio::buffer(turn.bytes));
-    if (turn.reset) open->socket.set_option(asio::socket_base::linger(true, 0));
-    if (turn.close || turn.reset) return open->socket.close();
-    serve(open);
+  void send_next(const std::shared_ptr<OpenConnection>& connection) {
+    const Step step = connection->next < connection->steps.size()
+                          ? connection->steps[connection->next++]
+                          : Step{"", true};
+    if (!step.bytes.empty()) asio::write(connection->socket, asio::buffer(step.bytes));
+    if (step.reset) connection->socket.set_option(asio::socket_base::linger(true, 0));
+    if (step.close || step.reset) return connection->socket.close();
+    serve(connection);
   }
 
   asio::ip::tcp::acceptor acceptor_;
-  std::vector<std::vector<Turn>> connections_;
+  std::vector<std::vector<Step>> connections_;
 };
 
-struct Fetched {
+struct FetchResult {
   int status = 0;
   std::string body;
   std::optional<TransferFailure> failure;
   bool connection_refused = false;
 };
 
-Fetched fetch(asio::io_context& loop, PooledHttpClient& client, OutgoingRequest request) {
-  Fetched fetched;
-  bool over = false;
+FetchResult fetch(asio::io_context& loop, PooledHttpClient& client, OutgoingRequest request) {
+  FetchResult result;
+  bool done = false;
   request.total_timeout = 5s;
   client.fetch(std::move(request), [&](const tl::expected<HttpReply, TransferError>& reply) {
-    over = true;
+    done = true;
     if (reply) {
-      fetched.status = reply->status;
-      fetched.body = reply->body;
+      result.status = reply->status;
+      result.body = reply->body;
     } else {
-      fetched.failure = reply.error().failure;
-      fetched.connection_refused = reply.error().connection_refused;
+      result.failure = reply.error().failure;
+      result.connection_refused = reply.error().connection_refused;
     }
   });
-  while (!over) loop.run_one();
+  while (!done) loop.run_one();
   loop.poll();
-  return fetched;
+  return result;
 }
 
-std::string sized(const std::string& id, const std::string& body) {
+std::string sized_response(const std::string& id, const std::string& body) {
   return "HTTP/1.1 200 OK\r\nid: " + id + "\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-OutgoingRequest asking(const std::string& url, const std::string& id) {
+OutgoingRequest make_request(const std::string& url, const std::string& id) {
   OutgoingRequest request;
   request.method = "POST";
   request.url = url;
@@ -169,33 +173,35 @@
 
 }  // namespace
 
-Test(http1_server, keeps_target_and_body_byte_for_byte) {
+Test(http1_server, preserves_target_and_body) {
   asio::io_context loop;
   EchoServer echo(loop);
   const std::string sent =
       "POST /a%2F?x=%20&&y HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
       "Connection: close\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-  const std::string reply = talk(loop, echo.server.local_endpoint(), sent);
+  const std::string reply = exchange_raw(loop, echo.server.local_endpoint(), sent);
   cr_assert_neq(reply.find("POST /a%2F?x=%20&&y abcde"), std::string::npos, "%s", reply.c_str());
 }
 
-Test(http1_server, tells_where_a_request_comes_from) {
+Test(http1_server, reports_caller_address) {
   asio::io_context loop;
   std::string caller;
   Http1Server server(loop, any_port(), [&](const HttpRequest& request, const auto& responder) {
     caller = request.caller;
     responder->respond({200, {}, ""});
   });
-  talk(loop, server.local_endpoint(), "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+  exchange_raw(loop, server.local_endpoint(),
+               "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   cr_assert_eq(caller, "127.0.0.1");
 }
 
-Test(http1_server, answers_requests_sent_at_once_in_their_order) {
+Test(http1_server, answers_pipelined_requests_in_order) {
   asio::io_context loop;
   EchoServer echo(loop);
-  const std::string reply = talk(loop, echo.server.local_endpoint(),
-                                 "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n"
-                                 "Connection: close\r\n\r\n");
+  const std::string reply =
+      exchange_raw(loop, echo.server.local_endpoint(),
+                   "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n"
+                   "Connection: close\r\n\r\n");
   cr_assert_lt(reply.find("GET /1"), reply.find("GET /2"));
 }
 
@@ -214,7 +220,7 @@
   asio::io_context loop;
   EchoServer echo(loop);
   for (const auto& [bytes, status] : cases) {
-    const std::string reply = talk(loop, echo.server.local_endpoint(), bytes);
+    const std::string reply = exchange_raw(loop, echo.server.local_endpoint(), bytes);
     cr_assert_eq(reply.rfind("HTTP/1.1 " + status, 0), 0, "%s got %s", bytes.c_str(),
                  reply.c_str());
     cr_assert_neq(reply.find("Connection: close"), std::string::npos);
@@ -222,7 +228,7 @@
   cr_assert_eq(echo.requests, 0, "nothing was handed on");
 }
 
-Test(http1_server, serves_on_after_any_bytes) {
+Test(http1_server, keeps_serving_after_random_bytes) {
   asio::io_context loop;
   EchoServer echo(loop);
   std::mt19937 random(20261202);  // NOLINT: repeatable on purpose
@@ -230,56 +236,57 @@
   for (int i = 0; i < 300; ++i) {
     std::string bytes = whole;
     for (int k = 0; k < 4; ++k) bytes[random() % bytes.size()] = static_cast<char>(random());
-    talk(loop, echo.server.local_endpoint(), bytes, true);
+    exchange_raw(loop, echo.server.local_endpoint(), bytes, true);
   }
-  const std::string reply = talk(loop, echo.server.local_endpoint(),
-                                 "GET /still HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+  const std::string reply =
+      exchange_raw(loop, echo.server.local_endpoint(),
+                   "GET /still HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   cr_assert_neq(reply.find("GET /still"), std::string::npos);
 }
 
 Test(http1_server, ends_an_aborted_stream_without_its_last_chunk) {
   asio::io_context loop;
-  std::shared_ptr<ConnectionResponder> kept;
+  std::shared_ptr<ConnectionResponder> saved_responder;
   Http1Server server(loop, any_port(), [&](const HttpRequest&, const auto& responder) {
-    kept = responder;
-    kept->begin_stream(200, {});
-    kept->write("event");
-    kept->on_drained([&] { kept->abort(); });
+    saved_responder = responder;
+    saved_responder->begin_stream(200, {});
+    saved_responder->write("event");
+    saved_responder->on_drained([&] { saved_responder->abort(); });
   });
   const std::string reply =
-      talk(loop, server.local_endpoint(), "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+      exchange_raw(loop, server.local_endpoint(), "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   cr_assert_neq(reply.find("event"), std::string::npos);
   cr_assert_eq(reply.find("0\r\n\r\n"), std::string::npos);
 }
 
-Test(http1_server, tells_when_the_caller_leaves) {
+Test(http1_server, calls_on_closed_when_caller_disconnects) {
   asio::io_context loop;
-  bool gone = false;
-  std::shared_ptr<ConnectionResponder> kept;
+  bool closed = false;
+  std::shared_ptr<ConnectionResponder> saved_responder;
   Http1Server server(loop, any_port(), [&](const HttpRequest&, const auto& responder) {
-    kept = responder;
-    kept->on_closed([&] { gone = true; });
+    saved_responder = responder;
+    saved_responder->on_closed([&] { closed = true; });
   });
   {
     asio::ip::tcp::socket socket(loop);
     socket.connect(server.local_endpoint());
     asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")));
-    while (!kept) loop.run_one();
+    while (!saved_responder) loop.run_one();
   }
-  while (!gone) loop.run_one();
+  while (!closed) loop.run_one();
 }
 
-Test(http1_server, closes_behind_answers_while_it_stops) {
+Test(http1_server, closes_connection_after_answer_without_keep_alive) {
   asio::io_context loop;
   EchoServer echo(loop);
-  echo.server.close_after_answers();
+  echo.server.disable_keep_alive();
   const std::string reply =
-      talk(loop, echo.server.local_endpoint(), "GET /last HTTP/1.1\r\nHost: h\r\n\r\n");
+      exchange_raw(loop, echo.server.local_endpoint(), "GET /last HTTP/1.1\r\nHost: h\r\n\r\n");
   cr_assert_neq(reply.find("Connection: close"), std::string::npos);
   cr_assert_neq(reply.find("GET /last"), std::string::npos);
 }
 
-Test(http1_server, sends_an_answer_whole_that_ended_just_before_the_drain) {
+Test(http1_server, drain_does_not_truncate_an_answer_being_sent) {
   // Seen on partida trouble-2, seed 595086904193: the answer ended 2 ms before listening did.
   asio::io_context loop;
   const std::string body(8UL << 20U, 'x');
@@ -290,106 +297,110 @@
   });
   running = &server;
   const std::string reply =
-      talk(loop, server.local_endpoint(), "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+      exchange_raw(loop, server.local_endpoint(), "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   cr_assert_gt(reply.size(), body.size());
 }
 
-Test(http1_client, keeps_a_connection_for_the_next_request) {
+Test(http1_client, reuses_connection_for_next_request) {
   asio::io_context loop;
-  ScriptedPeer peer(loop, {{{sized("1", "one")}, {sized("2", "two")}}});
+  ScriptedPeer peer(loop, {{{sized_response("1", "one")}, {sized_response("2", "two")}}});
   PooledHttpClient client(loop, {});
-  cr_assert_eq(fetch(loop, client, asking(peer.url(), "1")).body, "one");
-  cr_assert_eq(fetch(loop, client, asking(peer.url(), "2")).body, "two");
+  cr_assert_eq(fetch(loop, client, make_request(peer.url(), "1")).body, "one");
+  cr_assert_eq(fetch(loop, client, make_request(peer.url(), "2")).body, "two");
   cr_assert_eq(peer.accepted, 1);
 }
 
-Test(http1_client, never_sends_again_by_itself) {
+Test(http1_client, does_not_retry_requests) {
   asio::io_context loop;
-  ScriptedPeer peer(loop, {{{sized("1", "one")}, {"", true}}, {{sized("2", "two")}}});
+  ScriptedPeer peer(loop,
+                    {{{sized_response("1", "one")}, {"", true}}, {{sized_response("2", "two")}}});
   PooledHttpClient client(loop, {});
-  fetch(loop, client, asking(peer.url(), "1"));
-  const Fetched second = fetch(loop, client, asking(peer.url(), "2"));
+  fetch(loop, client, make_request(peer.url(), "1"));
+  const FetchResult second = fetch(loop, client, make_request(peer.url(), "2"));
   cr_assert(second.failure == TransferFailure::kUncertain);
   cr_assert_eq(peer.received, 2);
 }
 
-Test(http1_client, knows_when_nothing_was_sent) {
+Test(http1_client, reports_nothing_sent_when_connection_is_refused) {
   asio::io_context loop;
   asio::ip::tcp::acceptor unused(loop, kAnyPort);
   const std::string url = "http://" + format_endpoint(unused.local_endpoint()) + "/";
   unused.close();
   PooledHttpClient client(loop, {});
-  const Fetched fetched = fetch(loop, client, asking(url, "1"));
-  cr_assert(fetched.failure == TransferFailure::kNothingSent);
-  cr_assert(fetched.connection_refused, "nobody listens there");
+  const FetchResult result = fetch(loop, client, make_request(url, "1"));
+  cr_assert(result.failure == TransferFailure::kNothingSent);
+  cr_assert(result.connection_refused, "nobody listens there");
 }
 
-Test(http1_client, sends_nothing_that_is_no_longer_wanted_once_the_connection_stands) {
+Test(http1_client, withdraws_unwanted_request_after_connect) {
   asio::io_context loop;
-  ScriptedPeer peer(loop, {{{sized("1", "one")}}});
+  ScriptedPeer peer(loop, {{{sized_response("1", "one")}}});
   PooledHttpClient client(loop, {});
-  OutgoingRequest request = asking(peer.url(), "1");
+  OutgoingRequest request = make_request(peer.url(), "1");
   request.still_wanted = [] { return false; };
-  const Fetched fetched = fetch(loop, client, std::move(request));
-  cr_assert(fetched.failure == TransferFailure::kWithdrawn);
+  const FetchResult result = fetch(loop, client, std::move(request));
+  cr_assert(result.failure == TransferFailure::kWithdrawn);
   cr_assert_eq(peer.received, 0);
 }
 
 Test(http1_client, skips_an_answer_that_belongs_to_another_request) {
   asio::io_context loop;
-  ScriptedPeer peer(loop, {{{sized("1", "one")}, {sized("1", "late") + sized("2", "two")}}});
+  ScriptedPeer peer(loop, {{{sized_response("1", "one")},
+                            {sized_response("1", "late") + sized_response("2", "two")}}});
   PooledHttpClient client(loop, {});
-  fetch(loop, client, asking(peer.url(), "1"));
-  cr_assert_eq(fetch(loop, client, asking(peer.url(), "2")).body, "two");
+  fetch(loop, client, make_request(peer.url(), "1"));
+  cr_assert_eq(fetch(loop, client, make_request(peer.url(), "2")).body, "two");
   cr_assert_eq(client.stats().surplus_answers, 1);
 }
 
 Test(http1_client, does_not_reuse_a_connection_with_surplus_bytes) {
   asio::io_context loop;
-  ScriptedPeer peer(loop, {{{sized("1", "one") + sized("1", "again")}}, {{sized("2", "two")}}});
+  ScriptedPeer peer(loop, {{{sized_response("1", "one") + sized_response("1", "again")}},
+                           {{sized_response("2", "two")}}});
   PooledHttpClient client(loop, {});
-  cr_assert_eq(fetch(loop, client, asking(peer.url(), "1")).body, "one");
-  cr_assert_eq(fetch(loop, client, asking(peer.url(), "2")).body, "two");
+  cr_assert_eq(fetch(loop, client, make_request(peer.url(), "1")).body, "one");
+  cr_assert_eq(fetch(loop, client, make_request(peer.url(), "2")).body, "two");
   cr_assert_eq(peer.accepted, 2);
 }
 
-Test(http1_client, tells_an_answer_that_ends_with_its_connection_from_one_that_broke) {
+Test(http1_client, accepts_body_until_close_but_not_broken_connection) {
   asio::io_context loop;
   const std::string unframed = "HTTP/1.1 200 OK\r\nid: 1\r\n\r\nall of it";
   ScriptedPeer whole(loop, {{{unframed, true}}});
   PooledHttpClient client(loop, {});
-  cr_assert_eq(fetch(loop, client, asking(whole.url(), "1")).body, "all of it");
+  cr_assert_eq(fetch(loop, client, make_request(whole.url(), "1")).body, "all of it");
   ScriptedPeer broken(loop, {{{unframed, false, true}}});
-  cr_assert(fetch(loop, client, asking(broken.url(), "1")).failure.has_value());
+  cr_assert(fetch(loop, client, make_request(broken.url(), "1")).failure.has_value());
   ScriptedPeer cut(loop, {{{"HTTP/1.1 200 OK\r\nid: 1\r\nContent-Length: 50\r\n\r\nhalf", true}}});
-  cr_assert(fetch(loop, client, asking(cut.url(), "1")).failure.has_value());
+  cr_assert(fetch(loop, client, make_request(cut.url(), "1")).failure.has_value());
 }
 
-Test(http1_client, takes_no_bytes_that_are_no_answer) {
+Test(http1_client, fails_on_malformed_answer) {
   asio::io_context loop;
   ScriptedPeer peer(loop, {{{"this is no answer\r\n\r\n", true}}});
   PooledHttpClient client(loop, {});
-  cr_assert(fetch(loop, client, asking(peer.url(), "1")).failure == TransferFailure::kUncertain);
+  cr_assert(fetch(loop, client, make_request(peer.url(), "1")).failure ==
+            TransferFailure::kUncertain);
 }
 
-Test(http1_client, does_not_reuse_a_connection_that_was_answered_before_all_was_sent) {
+Test(http1_client, does_not_reuse_connection_answered_before_request_was_sent) {
   asio::io_context loop;
-  ScriptedPeer peer(loop,
-                    {{{sized("1", "early")}, {sized("2", "wrong place")}}, {{sized("2", "two")}}});
+  ScriptedPeer peer(loop, {{{sized_response("1", "early")}, {sized_response("2", "wrong place")}},
+                           {{sized_response("2", "two")}}});
   PooledHttpClient client(loop, {});
-  OutgoingRequest large = asking(peer.url(), "1");
+  OutgoingRequest large = make_request(peer.url(), "1");
   large.body = std::string(32UL << 20U, 'x');
   cr_assert_eq(fetch(loop, client, std::move(large)).body, "early");
-  cr_assert_eq(fetch(loop, client, asking(peer.url(), "2")).body, "two");
+  cr_assert_eq(fetch(loop, client, make_request(peer.url(), "2")).body, "two");
 }
 
-Test(http1_client, hands_a_refused_piece_over_again) {
+Test(http1_client, redelivers_refused_piece_after_resume) {
   asio::io_context loop;
-  ScriptedPeer peer(loop, {{{sized("1", "piece")}}});
+  ScriptedPeer peer(loop, {{{sized_response("1", "piece")}}});
   PooledHttpClient client(loop, {});
-  std::string taken;
+  std::string received;
   int offered = 0;
-  bool over = false;
+  bool done = false;
   TransferHandlers handlers;
   TransferId id = 0;
   handlers.on_headers = [](int, const HttpHeaders&) {};
@@ -398,16 +409,16 @@
       client.resume(id);
       return false;
     }
-    taken += piece;
+    received += piece;
     return true;
   };
   handlers.on_done = [&](const auto& result) {
     cr_assert(result.has_value());
-    over = true;
+    done = true;
   };
-  id = client.start(asking(peer.url(), "1"), handlers);
-  while (!over) loop.run_one();
-  cr_assert_eq(taken, "piece");
+  id = client.start(make_request(peer.url(), "1"), handlers);
+  while (!done) loop.run_one();
+  cr_assert_eq(received, "piece");
 }
 
 namespace {
@@ -417,9 +428,9 @@
  public:
   static constexpr int kPieces = 6;
 
-  /// @param sent pieces after which it falls silent.
-  TricklingServer(asio::io_context& own_loop, Duration gap, int sent)
-      : acceptor_(own_loop, kAnyPort), gap_(gap), left_(sent), timer_(own_loop) {
+  /// @param piece_count pieces after which it falls silent.
+  TricklingServer(asio::io_context& own_loop, Duration gap, int piece_count)
+      : acceptor_(own_loop, kAnyPort), gap_(gap), remaining_(piece_count), timer_(own_loop) {
     acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
       if (error) return;
       socket_ = std::move(socket);
@@ -433,15 +444,15 @@
   void begin() {
     out_ = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kPieces) + "\r\n\r\n";
     asio::async_write(*socket_, asio::buffer(out_),
-                      [this](const std::error_code&, std::size_t) { wait(); });
+                      [this](const std::error_code&, std::size_t) { schedule_next_piece(); });
   }
-  void wait() {
-    if (left_-- <= 0) return;
+  void schedule_next_piece() {
+    if (remaining_-- <= 0) return;
     timer_.expires_after(gap_);
     timer_.async_wait([this](const std::error_code& error) {
       if (error) return;
       asio::async_write(*socket_, asio::buffer("x", 1),
-                        [this](const std::error_code&, std::size_t) { wait(); });
+                        [this](const std::error_code&, std::size_t) { schedule_next_piece(); });
     });
   }
 
@@ -450,19 +461,20 @@
   asio::streambuf request_;
   std::string out_;
   Duration gap_;
-  int left_;
+  int remaining_;
   asio::steady_timer timer_;
 };
 
 /// Fetches from a peer that sends its pieces apart. @return the body, or what went wrong.
-tl::expected<std::string, std::string> fetch_trickling(Duration gap, int sent, Duration silence) {
+tl::expected<std::string, std::string> fetch_trickling(Duration gap, int piece_count,
+                                                       Duration answer_silence) {
   asio::io_context loop;
-  TricklingServer server(loop, gap, sent);
+  TricklingServer server(loop, gap, piece_count);
   PooledHttpClient client(loop, {});
   OutgoingRequest request;
   request.url = "http://" + server.address() + "/";
   request.total_timeout = 1s;
-  request.answer_silence = silence;
+  request.answer_silence = answer_silence;
   tl::expected<std::string, std::string> result;
   client.fetch(std::move(request), [&](const auto& reply) {
     if (reply) {
@@ -478,17 +490,17 @@
 
 }  // namespace
 
-Test(http1_client, gives_up_no_answer_that_keeps_coming) {
+Test(http1_client, total_timeout_does_not_end_a_progressing_answer) {
   // 1.5 s in all, where an answer had 1: one that is large or on a slow link never came.
   const auto whole = fetch_trickling(250ms, TricklingServer::kPieces, 10s);
   cr_assert(whole.has_value(), "%s", whole ? "" : whole.error().c_str());
   cr_assert_eq(*whole, "xxxxxx");
 }
 
-Test(http1_client, gives_up_an_answer_that_falls_silent) {
+Test(http1_client, times_out_when_answer_stalls) {
   cr_assert_not(fetch_trickling(1ms, 3, 50ms).has_value());
 }
 
-Test(http1_client, bounds_the_whole_answer_where_no_silence_is_set) {
+Test(http1_client, applies_total_timeout_without_answer_silence) {
   cr_assert_not(fetch_trickling(250ms, TricklingServer::kPieces, Duration::zero()).has_value());
 }
