--- a/src/net/http1_client.cpp
+++ b/src/net/http1_client.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t kReadBufferSize = 16UL << 10U;
 constexpr std::string_view kScheme = "http://";
 
-/// Shortest life that `Keep-Alive` may name and still make the connection worth keeping.
+/// Idle connections close this long before the peer's timeout; a shorter one prevents reuse.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(500);
 
 struct Target {
@@ -38,7 +38,7 @@
   return {url.substr(begin, slash - begin), slash < url.size() ? url.substr(slash) : "/"};
 }
 
-/// @return the seconds that a `Keep-Alive` field tells, or nothing.
+/// @return the timeout of the `Keep-Alive` field, or nothing when it is absent or malformed.
 std::optional<Duration> parse_keep_alive_timeout(const HttpHeaders& headers) {
   const std::string_view field = headers.get("Keep-Alive");
   constexpr std::string_view kName = "timeout=";
@@ -51,13 +51,13 @@
   return std::chrono::seconds(seconds);
 }
 
-/// Makes the kernel find out within about `bound` that the peer is gone.
+/// Makes the kernel detect an unreachable peer within about `bound`.
 void detect_dead_peer(asio::ip::tcp::socket& socket, Duration bound) {
   const auto milliseconds =
       static_cast<int>(std::chrono::duration_cast<std::chrono::milliseconds>(bound).count());
   const int socket_fd = socket.native_handle();
   const int on = 1;
-  const int interval = 1;  // Seconds, the least that the kernel takes.
+  const int interval = 1;  // Seconds; the kernel's minimum.
   const int probes = std::max(1, milliseconds / 1000);
   setsockopt(socket_fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
   setsockopt(socket_fd, IPPROTO_TCP, TCP_KEEPIDLE, &interval, sizeof(interval));
@@ -66,12 +66,12 @@
   setsockopt(socket_fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof(milliseconds));
 }
 
-/// One request under way.
+/// One request in flight.
 struct Exchange {
   TransferId id = 0;
   OutgoingRequest request;
   TransferHandlers handlers;
-  bool bytes_sent = false;  ///< Some byte may have left.
+  bool bytes_sent = false;  ///< Some bytes may have been sent.
   bool written = false;     ///< All bytes were handed to the kernel.
 };
 
@@ -119,10 +119,10 @@
     write();
   }
 
-  /// Ends without telling anyone.
+  /// Closes the connection without calling any handler.
   void close() {
     if (std::exchange(closed_, true)) return;
-    // The owner may be closing from inside one of its handlers, which must outlive that call.
+    // close() may run inside one of the exchange's handlers; destroy them after it has returned.
     if (exchange_) {
       asio::post(client_->loop, [ended = std::shared_ptr<Exchange>(std::move(exchange_))] {});
     }
@@ -196,7 +196,7 @@
         socket_, asio::buffer(write_buffer_),
         [self = shared_from_this(), id = exchange_->id](const std::error_code& error, std::size_t) {
           if (self->closed_ || !self->exchange_ || self->exchange_->id != id) return;
-          // A failed write is found by the read, which may still hold an answer.
+          // The pending read reports a failed write; it may still deliver an answer.
           if (!error) self->exchange_->written = true;
         });
   }
@@ -213,7 +213,7 @@
     arm_timer(std::max(left, Duration::zero()), "no whole answer in time");
   }
 
-  /// Bytes have come: the answer is under way.
+  /// Restarts the silence timeout after bytes of the answer have arrived.
   void arm_silence_timeout() {
     const Duration silence = exchange_->request.answer_silence;
     if (silence > Duration::zero()) arm_timer(silence, "the answer broke off");
@@ -240,7 +240,7 @@
           if (error) return self->on_read_error(error);
           self->unparsed_.append(self->read_buffer_.data(), size);
           if (!self->exchange_) {
-            // Bytes on a connection that rests belong to nobody.
+            // Bytes on an idle connection match no request.
             ++self->client_->stats.surplus_answers;
             return self->close();
           }
@@ -280,7 +280,7 @@
     return deliver(piece);
   }
 
-  /// @return whether reading goes on; a piece that was not taken is kept.
+  /// Passes a piece to the handler; stores it and pauses when refused. @return whether to go on.
   bool deliver(std::string_view piece) {
     if (exchange_->handlers.on_data(piece)) return !closed_;
     if (closed_) return false;
@@ -299,7 +299,7 @@
     complete();
   }
 
-  /// The answer is whole: tells the owner, and keeps the connection if nothing speaks against it.
+  /// Returns the connection to the pool or closes it, then reports the complete answer.
   void complete() {
     if (paused_) return;
     const std::unique_ptr<Exchange> exchange = std::move(exchange_);
@@ -319,7 +319,7 @@
   void return_to_pool() {
     arm_timer(idle_timeout_ - kKeepAliveMargin, "");
     client_->add_idle(shared_from_this());
-    // Bytes that came behind the answer are found when this turn of the loop is over.
+    // Checks for bytes after the answer once the current handler has returned.
     asio::post(client_->loop, [self = shared_from_this()] {
       if (self->closed_ || self->exchange_) return;
       if (!self->unparsed_.empty()) {
@@ -330,7 +330,7 @@
     });
   }
 
-  /// The peer has closed, or the connection broke.
+  /// Handles the end of the connection or a read error.
   void on_read_error(const std::error_code& error) {
     if (!exchange_) return close();
     const bool clean = error == asio::error::eof;
@@ -366,8 +366,8 @@
   Http1Parser parser_;
   std::array<char, kReadBufferSize> read_buffer_{};
   std::string write_buffer_;
-  std::string unparsed_;           ///< Arrived and not yet parsed.
-  std::string undelivered_piece_;  ///< Parsed, and refused by the owner for now.
+  std::string unparsed_;           ///< Received, not yet parsed.
+  std::string undelivered_piece_;  ///< Parsed, but refused by `on_data` until `resume`.
   std::unique_ptr<Exchange> exchange_;
   Duration idle_timeout_{};
   bool connected_ = false;
@@ -375,8 +375,8 @@
   bool reading_ = false;
   bool paused_ = false;
   bool keep_alive_ = false;
-  bool skipping_ = false;         ///< Inside an answer that does not belong to the request.
-  bool answer_complete_ = false;  ///< The answer ended while the owner had paused.
+  bool skipping_ = false;         ///< Inside an interim answer or one to another request.
+  bool answer_complete_ = false;  ///< The answer ended while delivery was paused.
 };
 
 TransferId PooledHttpClient::Impl::start(OutgoingRequest request, TransferHandlers handlers) {
--- a/src/net/http1_client.hpp
+++ b/src/net/http1_client.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// HTTP/1.1 requests on kept connections: http_parser on an Asio loop. Unlike the libcurl client it
-/// never sends a request a second time by itself, so that its owner knows whether any byte left,
-/// skips an answer that belongs to another request, and never reuses a connection that is in doubt.
+/// HTTP/1.1 client with a connection pool: http_parser on an Asio loop. Unlike the libcurl client
+/// it never retries a request, reports whether any byte may have been sent, skips answers to other
+/// requests, and reuses a connection only when its last exchange completed cleanly.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -13,24 +13,24 @@
 
 namespace shuntbank {
 
-/// Bounds of the pool.
+/// Settings of the connection pool.
 struct PooledHttpClientSettings {
   std::size_t max_idle_per_peer = 24;
-  /// How long a connection is kept where the peer does not tell its own bound.
+  /// How long an idle connection stays open if the peer sends no `Keep-Alive` timeout.
   Duration idle_timeout = std::chrono::seconds(4);
-  /// How long sent bytes may stay without acknowledgement before the connection counts as dead.
+  /// How long sent bytes may stay unacknowledged before the connection is closed.
   Duration peer_timeout = std::chrono::milliseconds(2500);
   std::size_t max_header_bytes = 64UL << 10U;
 };
 
-/// Counts of connections.
+/// Counters since the start of the client.
 struct PooledHttpClientStats {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
-  std::uint64_t surplus_answers = 0;  ///< Answers that belonged to no request that waited.
+  std::uint64_t surplus_answers = 0;  ///< Answers that matched no pending request.
 };
 
-/// Sends requests on kept connections. Not thread safe.
+/// Sends requests on pooled connections. Not thread safe.
 class PooledHttpClient : public HttpClient {
  public:
   PooledHttpClient(asio::io_context& loop, const PooledHttpClientSettings& settings);
@@ -42,7 +42,7 @@
   void cancel(TransferId id) override;
   void resume(TransferId id) override;
 
-  /// Closes idle connections to a peer, `IP:PORT`, whose address may be given away.
+  /// Closes idle connections to a peer, `IP:PORT`, whose address may be reassigned.
   void close_idle_connections(const std::string& address);
 
   const PooledHttpClientStats& stats() const;
--- a/src/net/http1_parser.cpp
+++ b/src/net/http1_parser.cpp
@@ -6,16 +6,16 @@
 namespace shuntbank {
 namespace {
 
-/// What the library itself bounds; ours, which can differ from connection to connection, is below.
+/// The library's limit is global; each parser enforces its own `max_header_bytes_`.
 constexpr std::uint32_t kLibraryMaxHeaderBytes = 1U << 20U;
 
 /// Separators of one header line: colon, space, carriage return, line feed.
 constexpr std::size_t kFieldOverhead = 4;
 
-/// http_parser's value of `content_length` when none was given.
+/// http_parser's value of `content_length` when the message has none.
 constexpr std::uint64_t kUnknownLength = std::numeric_limits<std::uint64_t>::max();
 
-/// What http_parser takes from the callback behind the header fields.
+/// Return values of http_parser's `on_headers_complete` callback.
 constexpr int kReadBody = 0;
 constexpr int kSkipBody = 1;
 constexpr int kRejectHead = -1;
--- a/src/net/http1_parser.hpp
+++ b/src/net/http1_parser.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Incremental HTTP/1.1 parsing by the http_parser library, for requests and for responses.
-/// One parser reads one direction of one connection, message after message.
+/// One parser reads consecutive messages of one direction of a connection.
 #pragma once
 
 #include <http_parser.h>
@@ -14,58 +14,57 @@
 
 namespace shuntbank {
 
-/// What a parser reads.
 enum class HttpMessageKind { kRequest, kResponse };
 
-/// Why parsing cannot go on.
+/// Why parsing failed.
 enum class HttpParseFailure {
   kNone,
-  kMalformed,       ///< The bytes are no HTTP/1.1.
-  kHeaderTooLarge,  ///< Start line and fields exceed the bound.
+  kMalformed,       ///< Not valid HTTP/1.1.
+  kHeaderTooLarge,  ///< Start line and fields exceed `max_header_bytes`.
 };
 
 /// The start line and the header fields of a message.
 struct HttpHead {
   std::string method;  ///< Requests only.
-  std::string target;  ///< Requests only; byte for byte.
+  std::string target;  ///< Requests only; not decoded.
   int status = 0;      ///< Responses only.
   HttpHeaders headers;
   bool keep_alive = true;            ///< Whether the connection may carry another message.
-  bool self_delimiting = false;      ///< Whether the end of the body can be told without the close.
-  std::uint64_t content_length = 0;  ///< Of the body, when `self_delimiting` and not in chunks.
+  bool self_delimiting = false;      ///< Whether the body can end without a close.
+  std::uint64_t content_length = 0;  ///< Of the body; 0 if unknown or chunked.
 };
 
-/// What a parser tells its owner, in the order of the bytes.
+/// Callbacks of a parser, called in stream order.
 struct HttpParserHandlers {
   std::function<void(HttpHead head)> on_head;
-  /// A piece of the body. @return false to stop here; `feed` returns and the piece counts as taken.
+  /// A piece of the body. @return false to stop; `feed` returns and the piece counts as consumed.
   std::function<bool(std::string_view piece)> on_body;
-  /// The message is whole; `feed` returns behind its last byte.
+  /// The message is complete; `feed` returns after its last byte.
   std::function<void()> on_end;
 };
 
-/// Reads one direction of a connection.
+/// Parses one direction of a connection.
 class Http1Parser {
  public:
-  /// @param max_header_bytes bound on the start line and all fields of one message.
+  /// @param max_header_bytes limit for the start line and all fields of one message.
   Http1Parser(HttpMessageKind kind, std::size_t max_header_bytes, HttpParserHandlers handlers);
   Http1Parser(const Http1Parser&) = delete;
   Http1Parser& operator=(const Http1Parser&) = delete;
 
-  /// Parses up to the end of a message or to a stop by a handler.
-  /// @return how many bytes were taken.
+  /// Parses up to the end of a message or until `on_body` returns false.
+  /// @return the number of bytes consumed.
   std::size_t feed(std::string_view bytes);
 
-  /// The peer has closed its direction. A message that lasts until the close ends here.
-  /// @return false when a message was cut off.
+  /// Handles the end of the stream, which completes a message that is delimited by it.
+  /// @return false when a message was truncated.
   bool feed_end();
 
   HttpParseFailure failure() const { return failure_; }
 
-  /// @return whether a message has begun and has not ended.
+  /// @return whether a message has started and is not complete.
   bool inside_message() const { return inside_message_; }
 
-  /// The next response has no body whatever its fields say: it answers HEAD.
+  /// Sets whether responses have no body whatever their fields say, as for HEAD.
   void set_without_body(bool without_body) { without_body_ = without_body; }
 
   void set_max_header_bytes(std::size_t bytes) { max_header_bytes_ = bytes; }
--- a/src/net/http1_server.cpp
+++ b/src/net/http1_server.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kReadBufferSize = 16UL << 10U;
 
-/// Bytes behind a request that are kept while it runs; a caller who sends more waits.
+/// Pipelined bytes buffered while a request runs; reading stops at this size.
 constexpr std::size_t kMaxPipelinedBytes = 64UL << 10U;
 
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
@@ -69,13 +69,13 @@
   asio::ip::tcp::acceptor acceptor;
   MonotonicTimer accept_retry_timer;
   std::unordered_set<std::shared_ptr<Connection>> connections;
-  std::size_t buffered_bytes = 0;  ///< Of all request bodies.
+  std::size_t buffered_bytes = 0;  ///< Total of all request bodies.
   bool accepting = false;
   bool keep_alive_disabled = false;
   Http1ServerStats stats;
 };
 
-/// One caller's connection: reads requests one after another and writes their replies.
+/// One caller's connection: reads requests and writes replies, one exchange at a time.
 class Http1Server::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<Impl> server, asio::ip::tcp::socket socket)
@@ -94,10 +94,10 @@
     read();
   }
 
-  /// Closes at once when no request is being read or answered, else behind the answer.
+  /// Closes now if no request is being read or answered, else after the answer.
   void close_when_idle() {
     close_after_answer_ = true;
-    // An answer that has ended may still be on its way to the kernel; it closes when it is sent.
+    // A finished answer may still be in the write buffer; the connection closes once it is sent.
     const bool sending = reply_ended_ || pending_bytes() > 0;
     const bool receiving = parser_.inside_message() || !unparsed_.empty();
     if (!reply_pending_ && !sending && !receiving) close();
@@ -115,7 +115,7 @@
     if (closed_handler) closed_handler();
   }
 
-  // What the responder calls.
+  // Called by the responder.
   void respond(const HttpReply& reply) {
     std::string text = format_head(reply.status, reply.headers);
     text += "Content-Length: " + std::to_string(reply.body.size()) + "\r\n\r\n";
@@ -168,7 +168,7 @@
     if (!reply_pending_ || unparsed_.size() < kMaxPipelinedBytes) read();
   }
 
-  /// Parses what has arrived, as far as the end of one request.
+  /// Parses received bytes up to the end of one request.
   void parse() {
     while (!closed_ && !reply_pending_ && !lingering_ && !unparsed_.empty()) {
       const bool message_started = parser_.inside_message();
@@ -232,8 +232,8 @@
     reject(large ? http_status::kHeadersTooLarge : http_status::kBadRequest);
   }
 
-  /// Answers what cannot be taken and reads on for a while, so that the answer is not lost to a
-  /// reset.
+  /// Answers with an error status, then reads for a while before closing, since an early close
+  /// could reset the connection and lose the answer.
   void reject(int status) {
     ++server_->stats.rejected;
     close_after_answer_ = true;
@@ -317,7 +317,7 @@
     if (!closed_) read();
   }
 
-  /// Ends our direction and reads on until the caller ends its own.
+  /// Shuts down sending, then reads until the caller closes or `linger_timeout` expires.
   void linger() {
     std::error_code ignored;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
@@ -346,17 +346,17 @@
 
   std::shared_ptr<Impl> server_;
   asio::ip::tcp::socket socket_;
-  std::string caller_;  ///< Address of the other end, without its port.
+  std::string caller_;  ///< The caller's IP address, without port.
   MonotonicTimer timer_;
   std::uint64_t timer_generation_ = 0;
   Http1Parser parser_;
   std::array<char, kReadBufferSize> read_buffer_{};
-  std::string unparsed_;      ///< Arrived and not yet parsed.
-  std::string outgoing_;      ///< To be sent behind `write_buffer_`.
-  std::string write_buffer_;  ///< Being handed to the kernel.
+  std::string unparsed_;      ///< Received, not yet parsed.
+  std::string outgoing_;      ///< Queued to be sent after `write_buffer_`.
+  std::string write_buffer_;  ///< Being written to the socket.
   HttpRequest request_;
   std::size_t body_bytes_ = 0;
-  int rejection_status_ = 0;  ///< Status with which the request is refused; 0: none.
+  int rejection_status_ = 0;  ///< Status for rejecting the request; 0 for none.
   std::function<void()> drained_handler_;
   std::function<void()> closed_handler_;
   bool reading_ = false;
@@ -364,7 +364,7 @@
   bool head_parsed_ = false;
   bool keep_alive_ = true;
   bool is_head_request_ = false;
-  bool reply_pending_ = false;  ///< A request was handed over and its reply has not ended.
+  bool reply_pending_ = false;  ///< The handler has a request and its reply has not ended.
   bool reply_ended_ = false;    ///< The reply has ended and is being sent.
   bool close_after_answer_ = false;
   bool shutdown_when_sent_ = false;
@@ -372,7 +372,7 @@
   bool write_deadline_armed_ = false;
 };
 
-/// The reply to one request. Ends as broken when dropped unfinished.
+/// The reply to one request. If dropped unfinished, sends status 500 or aborts a stream.
 class Http1Server::Responder : public ConnectionResponder {
  public:
   explicit Responder(const std::shared_ptr<Connection>& connection) : connection_(connection) {}
@@ -456,7 +456,7 @@
           connection->start();
           return self->accept();
         }
-        // Without descriptors each try fails at once; a pause keeps the loop free.
+        // Without free descriptors accept fails at once; a delay avoids a busy loop.
         self->accept_retry_timer.expires_after(std::chrono::milliseconds(50));
         self->accept_retry_timer.async_wait([self](const std::error_code&) { self->accept(); });
       });
--- a/src/net/http1_server.hpp
+++ b/src/net/http1_server.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// HTTP/1.1 towards callers for the relay: http_parser on an Asio loop. Unlike `HttpServer` it
-/// answers bytes that are no HTTP, can end a reply as broken, sees a caller leave while a request
-/// runs, and takes its bounds from the configuration in force.
+/// HTTP/1.1 server of the relay for callers: http_parser on an Asio loop. Unlike `HttpServer` it
+/// answers malformed requests, can abort a reply, detects a caller that disconnects while its
+/// request runs, and has limits that can change at run time.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,61 +14,61 @@
 
 namespace shuntbank {
 
-/// What a caller may send and how long it may take. May change while the server runs.
+/// Limits on requests, which may change while the server runs.
 struct CallerLimits {
   std::size_t max_header_bytes = 16UL << 10U;
   std::size_t max_body_bytes = 4UL << 20U;
-  Duration header_timeout = std::chrono::seconds(3);  ///< From a request's first byte.
+  Duration header_timeout = std::chrono::seconds(3);  ///< Since a request's first byte.
   Duration idle_timeout = std::chrono::seconds(15);   ///< Between requests, and within a body.
 };
 
-/// Bounds of the process, apart from the configuration.
+/// Settings that are fixed when the server starts.
 struct Http1ServerSettings {
   asio::ip::tcp::endpoint listen;
-  std::size_t max_connections = 2000;                 ///< More callers wait in the kernel's queue.
-  std::size_t max_buffered_bytes = 48UL << 20U;       ///< Of all request bodies together.
-  Duration write_timeout = std::chrono::seconds(20);  ///< For a caller who takes nothing.
-  Duration linger_timeout = std::chrono::seconds(1);  ///< Reading on after a refusal.
+  std::size_t max_connections = 2000;                 ///< More wait in the listen backlog.
+  std::size_t max_buffered_bytes = 48UL << 20U;       ///< Total of all request bodies.
+  Duration write_timeout = std::chrono::seconds(20);  ///< For a caller that does not read.
+  Duration linger_timeout = std::chrono::seconds(1);  ///< Reads this long before closing.
 };
 
-/// Answers one request; may also end the reply as broken.
+/// Answers one request; can also abort the reply.
 class ConnectionResponder : public HttpResponder {
  public:
-  /// Closes the connection without the end of the reply, so that what was sent cannot be taken for
-  /// a whole reply. The last call.
+  /// Closes the connection without the end of the reply, so that the caller can see that the reply
+  /// is truncated. The last call.
   virtual void abort() = 0;
 };
 
 using ConnectionHandler =
     std::function<void(HttpRequest request, std::shared_ptr<ConnectionResponder> responder)>;
 
-/// Counts of what the server did by itself.
+/// Counters and gauges of a server.
 struct Http1ServerStats {
-  std::uint64_t connections = 0;       ///< Accepted so far.
-  std::uint64_t open_connections = 0;  ///< Now.
-  std::uint64_t rejected = 0;          ///< Requests answered with a 4xx, or 503 for want of memory.
+  std::uint64_t connections = 0;       ///< Accepted since the start.
+  std::uint64_t open_connections = 0;  ///< Currently.
+  std::uint64_t rejected = 0;          ///< Answered with a 4xx, or 503 at `max_buffered_bytes`.
 };
 
-/// A listening address. Runs on the loop that it is given; starts no thread.
+/// Listens on one address. Runs on the given loop; starts no thread.
 class Http1Server {
  public:
-  /// Listens at once. @throw std::system_error when the address cannot be had.
+  /// Starts listening. @throw std::system_error when the address cannot be bound.
   Http1Server(asio::io_context& loop, const Http1ServerSettings& settings,
               ConnectionHandler handler);
   ~Http1Server();
   Http1Server(const Http1Server&) = delete;
   Http1Server& operator=(const Http1Server&) = delete;
 
-  /// @return the address with the port that the kernel chose.
+  /// @return the bound address, with the port that the kernel chose if it was 0.
   asio::ip::tcp::endpoint local_endpoint() const;
 
-  /// Takes bounds for all requests that begin from now on.
+  /// Sets the limits for requests that start from now on.
   void set_limits(const CallerLimits& limits);
 
-  /// From now on each answer ends its connection. Connections stay open until then.
+  /// Closes each connection after its next answer. Idle connections stay open until then.
   void disable_keep_alive();
 
-  /// Stops listening and closes connections that rest; others close behind their answers.
+  /// Stops listening and closes idle connections; others close after their answers.
   void drain();
 
   /// Closes the listening socket and all connections.
--- a/tests/net/http1_edges_test.cpp
+++ b/tests/net/http1_edges_test.cpp
@@ -22,7 +22,7 @@
   return settings;
 }
 
-/// Sends bytes, then reads until the server closes; the loop runs meanwhile.
+/// Sends bytes and runs the loop until the server closes. @return what the server sent.
 std::string exchange_raw(asio::io_context& loop, const asio::ip::tcp::endpoint& server,
                          const std::string& bytes, bool end_after_send = false) {
   asio::ip::tcp::socket socket(loop);
@@ -71,7 +71,7 @@
   Http1Server server;
 };
 
-/// A peer whose connections are scripted: what it sends after each request head that it has read.
+/// A server that sends a scripted response after each request head of a connection.
 class ScriptedPeer {
  public:
   struct Step {
@@ -225,13 +225,13 @@
                  reply.c_str());
     cr_assert_neq(reply.find("Connection: close"), std::string::npos);
   }
-  cr_assert_eq(echo.requests, 0, "nothing was handed on");
+  cr_assert_eq(echo.requests, 0, "the handler must not be called");
 }
 
 Test(http1_server, keeps_serving_after_random_bytes) {
   asio::io_context loop;
   EchoServer echo(loop);
-  std::mt19937 random(20261202);  // NOLINT: repeatable on purpose
+  std::mt19937 random(20261202);  // NOLINT: a fixed seed for reproducibility
   const std::string whole = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody";
   for (int i = 0; i < 300; ++i) {
     std::string bytes = whole;
@@ -287,7 +287,7 @@
 }
 
 Test(http1_server, drain_does_not_truncate_an_answer_being_sent) {
-  // Seen on partida trouble-2, seed 595086904193: the answer ended 2 ms before listening did.
+  // drain() must not close a connection whose finished answer is still being written.
   asio::io_context loop;
   const std::string body(8UL << 20U, 'x');
   Http1Server* running = nullptr;
@@ -329,7 +329,7 @@
   PooledHttpClient client(loop, {});
   const FetchResult result = fetch(loop, client, make_request(url, "1"));
   cr_assert(result.failure == TransferFailure::kNothingSent);
-  cr_assert(result.connection_refused, "nobody listens there");
+  cr_assert(result.connection_refused, "the port is closed");
 }
 
 Test(http1_client, withdraws_unwanted_request_after_connect) {
@@ -423,12 +423,12 @@
 
 namespace {
 
-/// A peer that answers each request with a head for `kPieces` pieces and sends one each `gap`.
+/// A server that announces a body of `kPieces` bytes and sends one of them every `gap`.
 class TricklingServer {
  public:
   static constexpr int kPieces = 6;
 
-  /// @param piece_count pieces after which it falls silent.
+  /// @param piece_count pieces after which it stops sending.
   TricklingServer(asio::io_context& own_loop, Duration gap, int piece_count)
       : acceptor_(own_loop, kAnyPort), gap_(gap), remaining_(piece_count), timer_(own_loop) {
     acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
@@ -465,7 +465,7 @@
   asio::steady_timer timer_;
 };
 
-/// Fetches from a peer that sends its pieces apart. @return the body, or what went wrong.
+/// Fetches from a `TricklingServer`. @return the body or an error message.
 tl::expected<std::string, std::string> fetch_trickling(Duration gap, int piece_count,
                                                        Duration answer_silence) {
   asio::io_context loop;
@@ -491,7 +491,7 @@
 }  // namespace
 
 Test(http1_client, total_timeout_does_not_end_a_progressing_answer) {
-  // 1.5 s in all, where an answer had 1: one that is large or on a slow link never came.
+  // The answer takes 1.5 s with a total timeout of 1 s: a slow link must not fail large answers.
   const auto whole = fetch_trickling(250ms, TricklingServer::kPieces, 10s);
   cr_assert(whole.has_value(), "%s", whole ? "" : whole.error().c_str());
   cr_assert_eq(*whole, "xxxxxx");
