--- a/src/net/http1_client.cpp
+++ b/src/net/http1_client.cpp
@@ -184,9 +184,10 @@
     for (const HttpHeader& field : request.headers.fields()) {
       write_buffer_ += field.name + ": " + field.value + "\r\n";
     }
-    const bool sized =
+    const bool needs_length =
         !request.body.empty() || (request.method != "GET" && request.method != "HEAD");
-    if (sized) write_buffer_ += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+    if (needs_length)
+      write_buffer_ += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
     write_buffer_ += "\r\n";
     write_buffer_ += request.body;
     exchange_->request.body.clear();
--- a/tests/net/http1_edges_test.cpp
+++ b/tests/net/http1_edges_test.cpp
@@ -15,7 +15,7 @@
 
 const asio::ip::tcp::endpoint kAnyPort{asio::ip::make_address("127.0.0.1"), 0};
 
-Http1ServerSettings any_port() {
+Http1ServerSettings server_settings() {
   Http1ServerSettings settings;
   settings.listen = kAnyPort;
   settings.linger_timeout = 50ms;
@@ -53,7 +53,7 @@
 /// A server that answers with method, target and body.
 struct EchoServer {
   explicit EchoServer(asio::io_context& loop)
-      : server(loop, any_port(), [this](const HttpRequest& request, const auto& responder) {
+      : server(loop, server_settings(), [this](const HttpRequest& request, const auto& responder) {
           ++requests;
           HttpReply reply;
           reply.status = 200;
@@ -186,10 +186,11 @@
 Test(http1_server, reports_caller_address) {
   asio::io_context loop;
   std::string caller;
-  Http1Server server(loop, any_port(), [&](const HttpRequest& request, const auto& responder) {
-    caller = request.caller;
-    responder->respond({200, {}, ""});
-  });
+  Http1Server server(loop, server_settings(),
+                     [&](const HttpRequest& request, const auto& responder) {
+                       caller = request.caller;
+                       responder->respond({200, {}, ""});
+                     });
   exchange_raw(loop, server.local_endpoint(),
                "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   cr_assert_eq(caller, "127.0.0.1");
@@ -247,7 +248,7 @@
 Test(http1_server, ends_an_aborted_stream_without_its_last_chunk) {
   asio::io_context loop;
   std::shared_ptr<ConnectionResponder> saved_responder;
-  Http1Server server(loop, any_port(), [&](const HttpRequest&, const auto& responder) {
+  Http1Server server(loop, server_settings(), [&](const HttpRequest&, const auto& responder) {
     saved_responder = responder;
     saved_responder->begin_stream(200, {});
     saved_responder->write("event");
@@ -263,7 +264,7 @@
   asio::io_context loop;
   bool closed = false;
   std::shared_ptr<ConnectionResponder> saved_responder;
-  Http1Server server(loop, any_port(), [&](const HttpRequest&, const auto& responder) {
+  Http1Server server(loop, server_settings(), [&](const HttpRequest&, const auto& responder) {
     saved_responder = responder;
     saved_responder->on_closed([&] { closed = true; });
   });
@@ -291,7 +292,7 @@
   asio::io_context loop;
   const std::string body(8UL << 20U, 'x');
   Http1Server* running = nullptr;
-  Http1Server server(loop, any_port(), [&](const HttpRequest&, const auto& responder) {
+  Http1Server server(loop, server_settings(), [&](const HttpRequest&, const auto& responder) {
     responder->respond({200, {}, body});
     running->drain();
   });
@@ -371,8 +372,9 @@
   cr_assert_eq(fetch(loop, client, make_request(whole.url(), "1")).body, "all of it");
   ScriptedPeer broken(loop, {{{unframed, false, true}}});
   cr_assert(fetch(loop, client, make_request(broken.url(), "1")).failure.has_value());
-  ScriptedPeer cut(loop, {{{"HTTP/1.1 200 OK\r\nid: 1\r\nContent-Length: 50\r\n\r\nhalf", true}}});
-  cr_assert(fetch(loop, client, make_request(cut.url(), "1")).failure.has_value());
+  ScriptedPeer truncated(loop,
+                         {{{"HTTP/1.1 200 OK\r\nid: 1\r\nContent-Length: 50\r\n\r\nhalf", true}}});
+  cr_assert(fetch(loop, client, make_request(truncated.url(), "1")).failure.has_value());
 }
 
 Test(http1_client, fails_on_malformed_answer) {
