--- a/src/node/caller_api.cpp
+++ b/src/node/caller_api.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::string_view kServicesPath = "/services/";
-constexpr Duration kNotReadyRetry = std::chrono::seconds(2);
+constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(2);
 constexpr std::size_t kRequestIdBytes = 12;
 
 CallerError invalid(const std::string& message) {
@@ -22,12 +22,12 @@
 /// Parses JSON of bounded depth. @return the value, or what is wrong. Text must be valid UTF-8.
 tl::expected<json, std::string> parse_bounded(const std::string& text, std::uint64_t max_depth) {
   bool too_deep = false;
-  const auto bounded = [&too_deep, max_depth](int depth, json::parse_event_t, json&) {
+  const auto depth_limit = [&too_deep, max_depth](int depth, json::parse_event_t, json&) {
     too_deep = too_deep || static_cast<std::uint64_t>(depth) > max_depth;
     return !too_deep;
   };
   try {
-    json value = json::parse(text, bounded, true);
+    json value = json::parse(text, depth_limit, true);
     if (too_deep) return tl::make_unexpected(std::string("the JSON is nested too deeply"));
     return value;
   } catch (const json::exception&) {
@@ -37,17 +37,17 @@
 }
 
 /// Longest idempotency key, in bytes.
-constexpr std::size_t kMaxIdempotencyKey = 255;
+constexpr std::size_t kMaxIdempotencyKeyBytes = 255;
 
 /// Fields that two readers could read differently are refused, not guessed.
 /// @return what is wrong with them, or empty text.
-std::string doubtful_fields(const HttpHeaders& headers) {
+std::string check_header_fields(const HttpHeaders& headers) {
   if (headers.count("Authorization") > 1) return "more than one Authorization field";
   const std::size_t keys = headers.count("Idempotency-Key");
   if (keys > 1) return "more than one Idempotency-Key field";
   const std::size_t length = headers.get("Idempotency-Key").size();
-  if (keys == 1 && (length == 0 || length > kMaxIdempotencyKey)) {
-    return "an Idempotency-Key has 1 to " + std::to_string(kMaxIdempotencyKey) + " bytes";
+  if (keys == 1 && (length == 0 || length > kMaxIdempotencyKeyBytes)) {
+    return "an Idempotency-Key has 1 to " + std::to_string(kMaxIdempotencyKeyBytes) + " bytes";
   }
   return "";
 }
@@ -74,11 +74,11 @@
   if (!snapshot) {
     return refuse(id,
                   {ErrorCode::kNotReady, "the node has no configuration yet",
-                   RequestOutcome::kNotRun, kNotReadyRetry},
+                   RequestOutcome::kNotRun, kNotReadyRetryAfter},
                   responder);
   }
-  const std::string doubt = doubtful_fields(request.headers);
-  if (!doubt.empty()) return refuse(id, invalid(doubt), responder);
+  const std::string header_error = check_header_fields(request.headers);
+  if (!header_error.empty()) return refuse(id, invalid(header_error), responder);
   const Tenant* tenant = authenticate(request, *snapshot);
   if (tenant == nullptr) {
     return refuse(id,
@@ -88,16 +88,16 @@
   }
   const bool is_post = request.method == "POST";
   if (request.path == engine_api::kChatPath && is_post) {
-    return complete(request, id, *tenant, CompletionKind::kChat, responder);
+    return handle_completion(request, id, *tenant, CompletionKind::kChat, responder);
   }
   if (request.path == engine_api::kCompletionPath && is_post) {
-    return complete(request, id, *tenant, CompletionKind::kText, responder);
+    return handle_completion(request, id, *tenant, CompletionKind::kText, responder);
   }
   if (request.path == "/v1/models" && request.method == "GET") {
     return list_models(*snapshot, id, responder);
   }
   if (request.path.rfind(kServicesPath, 0) == 0) {
-    return call_plain(std::move(request), id, *tenant, responder);
+    return handle_plain(std::move(request), id, *tenant, responder);
   }
   refuse(id,
          {ErrorCode::kUnknownPath, "there is nothing at this path for this method",
@@ -132,8 +132,8 @@
        body.dump()});
 }
 
-void CallerApi::complete(const HttpRequest& request, RequestId id, const Tenant& tenant,
-                         CompletionKind kind, const Responder& responder) {
+void CallerApi::handle_completion(const HttpRequest& request, RequestId id, const Tenant& tenant,
+                                  CompletionKind kind, const Responder& responder) {
   if (request.body.size() > settings_.max_body) {
     return refuse(
         id, {ErrorCode::kTooLarge, "the body is too large", RequestOutcome::kNotRun, std::nullopt},
@@ -166,8 +166,8 @@
   submit(std::move(session), request, tenant, responder);
 }
 
-void CallerApi::call_plain(HttpRequest request, RequestId id, const Tenant& tenant,
-                           const Responder& responder) {
+void CallerApi::handle_plain(HttpRequest request, RequestId id, const Tenant& tenant,
+                             const Responder& responder) {
   if (request.body.size() > settings_.max_body) {
     return refuse(
         id, {ErrorCode::kTooLarge, "the body is too large", RequestOutcome::kNotRun, std::nullopt},
@@ -204,8 +204,8 @@
   const std::string_view key = request.headers.get("Idempotency-Key");
   if (!key.empty()) session.claim = claim_key(tenant.name, std::string(key));
   session.snapshot = config_.replica().snapshot();
-  session.arrived = runtime_.now();
-  session.deadline = session.arrived + settings_.request_deadline;
+  session.arrived_at = runtime_.now();
+  session.deadline = session.arrived_at + settings_.request_timeout;
   const Policy& policy = session.snapshot->policy_for(tenant, session.service);
   session.priority = policy.priority;
   const double weight = tenant.weight;
--- a/src/node/caller_api.hpp
+++ b/src/node/caller_api.hpp
@@ -28,10 +28,10 @@
 
   const Tenant* authenticate(const HttpRequest& request, const Snapshot& snapshot) const;
   void list_models(const Snapshot& snapshot, const RequestId& id, const Responder& responder) const;
-  void complete(const HttpRequest& request, RequestId id, const Tenant& tenant, CompletionKind kind,
-                const Responder& responder);
-  void call_plain(HttpRequest request, RequestId id, const Tenant& tenant,
-                  const Responder& responder);
+  void handle_completion(const HttpRequest& request, RequestId id, const Tenant& tenant,
+                         CompletionKind kind, const Responder& responder);
+  void handle_plain(HttpRequest request, RequestId id, const Tenant& tenant,
+                    const Responder& responder);
   void submit(SessionRequest session, const HttpRequest& request, const Tenant& tenant,
               const Responder& responder);
   void refuse(const RequestId& id, const CallerError& error, const Responder& responder) const;
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -7,7 +7,7 @@
 namespace shuntbank {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(500);
+constexpr Duration kTickInterval = std::chrono::milliseconds(500);
 
 constexpr std::size_t kMaxClaims = 200'000;
 
@@ -15,16 +15,16 @@
 constexpr std::size_t kCandidates = 3;
 
 /// A node that does not coordinate looks for a new composition so often, besides when it needs one.
-constexpr Duration kPullEvery = std::chrono::seconds(30);
+constexpr Duration kPullInterval = std::chrono::seconds(30);
 
 /// A member that may still know the lost claims is waited for so many ticks.
-constexpr int kTicksBeforeLoss = 20;
+constexpr int kHistoryLossTicks = 20;
 
 /// A coordinator of a view that does not become stable looks at the store again so often.
-constexpr int kTicksBeforeReading = 10;
+constexpr int kRereadTicks = 10;
 
 /// A change of the group must be wanted for so many ticks, so that it does not follow every blip.
-constexpr int kTicksBeforeChange = 3;
+constexpr int kGroupChangeTicks = 3;
 
 std::string record_key(const RegionName& region) {
   return "claims/" + region.value();
@@ -55,7 +55,7 @@
       region_(std::move(region)),
       retention_(retention),
       replica_(cluster.self().boot, retention, kMaxClaims),
-      ticker_(runtime, kTick, [this] { tick(); }) {}
+      ticker_(runtime, kTickInterval, [this] { tick(); }) {}
 
 std::vector<MemberFact> ClaimService::candidates() const {
   return cluster_.candidates(record_key(region_), kCandidates);
@@ -66,10 +66,11 @@
   return !ranked.empty() && ranked.front().node == cluster_.self().node && !resigned_;
 }
 
-void ClaimService::ask(const ClaimMember& member, const Message& message,
-                       std::function<void(const std::optional<Message>&)> handler) {
+void ClaimService::call_member(const ClaimMember& member, const Message& message,
+                               std::function<void(const std::optional<Message>&)> handler) {
   if (member.node == cluster_.self().node) {
-    runtime_.post([this, message, handler = std::move(handler)] { handler(answer(message)); });
+    runtime_.post(
+        [this, message, handler = std::move(handler)] { handler(handle_message(message)); });
     return;
   }
   cluster_.call(member.address, message, [handler = std::move(handler)](const auto& reply) {
@@ -82,19 +83,20 @@
   attempt->key = key;
   attempt->claimant = claimant;
   attempt->handler = std::move(handler);
-  if (record_.stable) return ask_replicas(attempt);
-  refresh_then(attempt);
+  if (record_.stable) return request_votes(attempt);
+  refresh_and_retry(attempt);
 }
 
-void ClaimService::ask_replicas(const std::shared_ptr<Attempt>& attempt) {
+void ClaimService::request_votes(const std::shared_ptr<Attempt>& attempt) {
   const auto vote = std::make_shared<ClaimVote>(record_.members.size());
   attempt->vote = vote;
   const ClaimRequest request{record_.view, attempt->key, attempt->claimant};
   for (const ClaimMember& member : record_.members) {
-    ask(member, request, [this, attempt, vote](const std::optional<Message>& reply) {
+    call_member(member, request, [this, attempt, vote](const std::optional<Message>& reply) {
       if (attempt->vote != vote) return;
-      const auto* answered = reply ? std::get_if<ClaimAnswer>(&*reply) : nullptr;
-      on_vote(attempt, answered == nullptr ? ClaimVerdict::kUnavailable : answered->verdict);
+      const auto* claim_answer = reply ? std::get_if<ClaimAnswer>(&*reply) : nullptr;
+      on_vote(attempt,
+              claim_answer == nullptr ? ClaimVerdict::kUnavailable : claim_answer->verdict);
     });
   }
 }
@@ -113,40 +115,41 @@
       break;
   }
   // The group may have moved on: learn its present composition once, then give up.
-  if (!std::exchange(attempt->refreshed, true)) return refresh_then(attempt);
+  if (!std::exchange(attempt->refreshed, true)) return refresh_and_retry(attempt);
   release(attempt->key, attempt->claimant);
   attempt->finish(ClaimVerdict::kUnavailable);
 }
 
-void ClaimService::refresh_then(const std::shared_ptr<Attempt>& attempt) {
+void ClaimService::refresh_and_retry(const std::shared_ptr<Attempt>& attempt) {
   attempt->refreshed = true;
   pull_record(candidates(), [this, attempt] {
     if (!record_.stable) return attempt->finish(ClaimVerdict::kUnavailable);
-    ask_replicas(attempt);
+    request_votes(attempt);
   });
 }
 
-void ClaimService::pull_record(std::vector<MemberFact> from, std::function<void()> then) {
-  if (from.empty()) return then();
-  const ClaimMember member{from.front().node, from.front().address};
-  from.erase(from.begin());
+void ClaimService::pull_record(std::vector<MemberFact> sources, std::function<void()> then) {
+  if (sources.empty()) return then();
+  const ClaimMember member{sources.front().node, sources.front().address};
+  sources.erase(sources.begin());
   // The coordinator is asked first; those who stand behind it have what it said before.
-  ask(member, ClaimGroupPull{},
-      [this, from = std::move(from), then = std::move(then)](const std::optional<Message>& reply) {
-        const auto* group = reply ? std::get_if<ClaimGroupReply>(&*reply) : nullptr;
-        if (group == nullptr || !group->record.stable) return pull_record(from, then);
-        if (group->record.view >= record_.view) record_ = group->record;
-        then();
-      });
+  call_member(member, ClaimGroupPull{},
+              [this, sources = std::move(sources),
+               then = std::move(then)](const std::optional<Message>& reply) {
+                const auto* group = reply ? std::get_if<ClaimGroupReply>(&*reply) : nullptr;
+                if (group == nullptr || !group->record.stable) return pull_record(sources, then);
+                if (group->record.view >= record_.view) record_ = group->record;
+                then();
+              });
 }
 
-void ClaimService::keep_record_fresh() {
-  record_read_ = false;
+void ClaimService::refresh_record() {
+  record_loaded_ = false;
   const MonotonicTime now = runtime_.now();
-  if (pulling_ || (record_.stable && now < next_pull_)) return;
-  pulling_ = true;
-  next_pull_ = now + kPullEvery;
-  pull_record(candidates(), [this] { pulling_ = false; });
+  if (pull_pending_ || (record_.stable && now < next_pull_)) return;
+  pull_pending_ = true;
+  next_pull_ = now + kPullInterval;
+  pull_record(candidates(), [this] { pull_pending_ = false; });
 }
 
 void ClaimService::release(const ClaimKey& key, const RequestId& claimant) {
@@ -159,7 +162,7 @@
   }
 }
 
-std::optional<Message> ClaimService::answer(const Message& message) {
+std::optional<Message> ClaimService::handle_message(const Message& message) {
   const MonotonicTime now = runtime_.now();
   if (const auto* request = std::get_if<ClaimRequest>(&message)) {
     const ClaimVerdict verdict =
@@ -172,8 +175,8 @@
                {"held", verdict == ClaimVerdict::kHeld}});
     return ClaimAnswer{verdict};
   }
-  if (const auto* given_back = std::get_if<ClaimRelease>(&message)) {
-    replica_.release(given_back->key, given_back->claimant);
+  if (const auto* released = std::get_if<ClaimRelease>(&message)) {
+    replica_.release(released->key, released->claimant);
     return std::nullopt;
   }
   if (const auto* seal = std::get_if<ClaimSeal>(&message)) {
@@ -195,30 +198,30 @@
 }
 
 void ClaimService::tick() {
-  if (!is_coordinator()) return keep_record_fresh();
-  if (store_busy_) return;
+  if (!is_coordinator()) return refresh_record();
+  if (store_call_pending_) return;
   // A coordinator starts from what is stored, since another may have changed it before.
-  if (!record_read_) return read_record();
+  if (!record_loaded_) return read_record();
   if (!record_.stable && record_.view > 0) {
     // Another coordinator may have gone on from here without this one hearing of it.
-    if (++unstable_ticks_ % kTicksBeforeReading == 0) return read_record();
+    if (++unstable_ticks_ % kRereadTicks == 0) return read_record();
     return run_takeover();
   }
   probe_members();
 }
 
 void ClaimService::read_record() {
-  store_busy_ = true;
+  store_call_pending_ = true;
   platform_.read(record_key(region_), [this](const auto& result) {
-    store_busy_ = false;
+    store_call_pending_ = false;
     if (!result) return;
-    record_read_ = true;
+    record_loaded_ = true;
     if (!result->has_value()) return;
     try {
       record_ = claim_group_from_json((*result)->value);
       record_version_ = (*result)->version;
     } catch (const std::exception& error) {
-      record_read_ = false;
+      record_loaded_ = false;
       log_event(LogArea::kControl, LogLevel::kError, "claim_group_unreadable",
                 {{"error", error.what()}});
     }
@@ -226,13 +229,13 @@
 }
 
 void ClaimService::write_record(const ClaimGroupRecord& next) {
-  store_busy_ = true;
+  store_call_pending_ = true;
   platform_.write(
       record_key(region_), record_version_, to_json(next), [this, next](const auto& result) {
-        store_busy_ = false;
+        store_call_pending_ = false;
         // Not answered, or somebody else was faster: go on from what is stored.
-        record_read_ = result && result->applied;
-        if (!record_read_) return;
+        record_loaded_ = result && result->applied;
+        if (!record_loaded_) return;
         record_ = next;
         record_version_ = result->version;
         log_event(LogArea::kControl, LogLevel::kInfo, "claim_group",
@@ -241,30 +244,31 @@
 }
 
 void ClaimService::probe_members() {
-  if (probes_open_ > 0) return;
-  vouching_.clear();
+  if (pending_probes_ > 0) return;
+  serving_members_.clear();
   if (record_.members.empty()) {
-    consider_change(vouching_);
+    try_change_group(serving_members_);
     return;
   }
-  probes_open_ = record_.members.size();
+  pending_probes_ = record_.members.size();
   for (const ClaimMember& member : record_.members) {
-    ask(member, ClaimProbe{}, [this, member](const std::optional<Message>& reply) {
+    call_member(member, ClaimProbe{}, [this, member](const std::optional<Message>& reply) {
       const auto* status = reply ? std::get_if<ClaimStatus>(&*reply) : nullptr;
-      if (status != nullptr && status->active_view == record_.view) vouching_.insert(member.node);
-      if (--probes_open_ == 0) consider_change(vouching_);
+      if (status != nullptr && status->active_view == record_.view)
+        serving_members_.insert(member.node);
+      if (--pending_probes_ == 0) try_change_group(serving_members_);
     });
   }
 }
 
-bool ClaimService::consider_change(const std::set<NodeId>& vouching) {
-  if (store_busy_ || !is_coordinator() || !record_read_) return false;
+bool ClaimService::try_change_group(const std::set<NodeId>& serving_members) {
+  if (store_call_pending_ || !is_coordinator() || !record_loaded_) return false;
   std::vector<MemberFact> usable = cluster_.usable();
   std::erase_if(usable, [this](const MemberFact& member) { return member.region != region_; });
-  const auto next = next_claim_group(record_, usable, vouching);
-  change_wanted_ticks_ = next ? change_wanted_ticks_ + 1 : 0;
-  if (change_wanted_ticks_ < kTicksBeforeChange) return false;
-  change_wanted_ticks_ = 0;
+  const auto next = next_claim_group(record_, usable, serving_members);
+  change_pending_ticks_ = next ? change_pending_ticks_ + 1 : 0;
+  if (change_pending_ticks_ < kGroupChangeTicks) return false;
+  change_pending_ticks_ = 0;
   write_record(*next);
   return true;
 }
@@ -275,7 +279,7 @@
     takeover_ticks_ = 0;
   }
   const ClaimView view = record_.view;
-  const auto current = [this, view] {
+  const auto still_current = [this, view] {
     return takeover_ && takeover_->record().view == view && !record_.stable;
   };
   if (takeover_->installed()) {
@@ -286,27 +290,30 @@
   // A member that restarted meanwhile cannot install this view: name the members anew.
   std::set<NodeId> members;
   for (const ClaimMember& member : record_.members) members.insert(member.node);
-  if (consider_change(members)) return;
-  if (takeover_->history_lost() && ++takeover_ticks_ > kTicksBeforeLoss) {
+  if (try_change_group(members)) return;
+  if (takeover_->history_lost() && ++takeover_ticks_ > kHistoryLossTicks) {
     log_event(LogArea::kControl, LogLevel::kWarning, "claims_lost", {{"view", view}});
     takeover_->accept_loss();
   }
   if (!takeover_->sealed()) {
     for (const ClaimMember& member : takeover_->to_seal()) {
-      ask(member, ClaimSeal{view}, [this, member, current](const std::optional<Message>& reply) {
-        const auto* sealed = reply ? std::get_if<ClaimSealed>(&*reply) : nullptr;
-        if (sealed != nullptr && current()) takeover_->on_sealed(member.node, sealed->result);
-      });
+      call_member(member, ClaimSeal{view},
+                  [this, member, still_current](const std::optional<Message>& reply) {
+                    const auto* sealed = reply ? std::get_if<ClaimSealed>(&*reply) : nullptr;
+                    if (sealed != nullptr && still_current())
+                      takeover_->on_sealed(member.node, sealed->result);
+                  });
     }
     return;
   }
   for (const ClaimMember& member : takeover_->to_install()) {
-    ask(member, ClaimInstall{view, member.boot, takeover_->entries(), takeover_->quiet_for()},
-        [this, member, view, current](const std::optional<Message>& reply) {
-          const auto* status = reply ? std::get_if<ClaimStatus>(&*reply) : nullptr;
-          const bool serves = status != nullptr && status->active_view == view;
-          if (serves && current()) takeover_->on_installed(member.node);
-        });
+    call_member(member,
+                ClaimInstall{view, member.boot, takeover_->entries(), takeover_->quiet_for()},
+                [this, member, view, still_current](const std::optional<Message>& reply) {
+                  const auto* status = reply ? std::get_if<ClaimStatus>(&*reply) : nullptr;
+                  const bool serves = status != nullptr && status->active_view == view;
+                  if (serves && still_current()) takeover_->on_installed(member.node);
+                });
   }
 }
 
--- a/src/node/claim_service.hpp
+++ b/src/node/claim_service.hpp
@@ -31,7 +31,7 @@
   void release(const ClaimKey& key, const RequestId& claimant);
 
   /// Answers a message about claims; nothing when it is none.
-  std::optional<Message> answer(const Message& message);
+  std::optional<Message> handle_message(const Message& message);
 
   /// Stops coordinating: this node is leaving. It goes on as a replica to its end.
   void resign() { resigned_ = true; }
@@ -45,18 +45,18 @@
 
   std::vector<MemberFact> candidates() const;
   bool is_coordinator() const;
-  void ask_replicas(const std::shared_ptr<Attempt>& attempt);
+  void request_votes(const std::shared_ptr<Attempt>& attempt);
   void on_vote(const std::shared_ptr<Attempt>& attempt, ClaimVerdict verdict);
-  void refresh_then(const std::shared_ptr<Attempt>& attempt);
-  void pull_record(std::vector<MemberFact> from, std::function<void()> then);
-  void keep_record_fresh();
-  void ask(const ClaimMember& member, const Message& message,
-           std::function<void(const std::optional<Message>&)> handler);
+  void refresh_and_retry(const std::shared_ptr<Attempt>& attempt);
+  void pull_record(std::vector<MemberFact> sources, std::function<void()> then);
+  void refresh_record();
+  void call_member(const ClaimMember& member, const Message& message,
+                   std::function<void(const std::optional<Message>&)> handler);
   void tick();
   void read_record();
   void write_record(const ClaimGroupRecord& next);
   void probe_members();
-  bool consider_change(const std::set<NodeId>& vouching);
+  bool try_change_group(const std::set<NodeId>& serving_members);
   void run_takeover();
 
   Runtime& runtime_;
@@ -67,16 +67,16 @@
   ClaimReplica replica_;
   ClaimGroupRecord record_;
   std::uint64_t record_version_ = 0;
-  bool record_read_ = false;
-  bool store_busy_ = false;
-  std::set<NodeId> vouching_;
-  std::size_t probes_open_ = 0;
-  int change_wanted_ticks_ = 0;
+  bool record_loaded_ = false;
+  bool store_call_pending_ = false;
+  std::set<NodeId> serving_members_;
+  std::size_t pending_probes_ = 0;
+  int change_pending_ticks_ = 0;
   std::optional<ClaimTakeover> takeover_;
   int takeover_ticks_ = 0;
   int unstable_ticks_ = 0;
   bool resigned_ = false;
-  bool pulling_ = false;
+  bool pull_pending_ = false;
   MonotonicTime next_pull_{};
   Periodic ticker_;
 };
--- a/src/node/cluster_service.cpp
+++ b/src/node/cluster_service.cpp
@@ -8,13 +8,13 @@
 namespace shuntbank {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 constexpr Duration kCallTimeout = std::chrono::seconds(3);
 constexpr std::size_t kEngineFactsPerMessage = 3;
 constexpr std::size_t kAnnounceFanout = 4;
 
 /// Facts are pulled whole at most so often; between pulls they come piece by piece.
-constexpr Duration kFactsPullEvery = std::chrono::seconds(10);
+constexpr Duration kFactsPullInterval = std::chrono::seconds(10);
 
 /// Heartbeats sent at once when this node leaves, so that it is known within a round trip.
 constexpr std::size_t kLeaveFanout = 8;
@@ -34,7 +34,7 @@
       membership_(with_address(std::move(self), transport.local_address()), MembershipSettings{},
                   seed),
       random_(seed),
-      ticker_(runtime, kTick, [this] { tick(); }) {
+      ticker_(runtime, kTickInterval, [this] { tick(); }) {
   transport_.set_handlers(
       [this](std::string_view text, const std::string& sender) { on_datagram(text, sender); },
       [this](const std::string& frame, const std::function<void(std::string)>& reply) {
@@ -78,7 +78,7 @@
   const std::uint64_t changes_before = membership_.changes();
   membership_.on_facts(runtime_.now(), heartbeat.members);
   membership_.on_heard_from(heartbeat.from);
-  learn_engines(heartbeat.engines);
+  merge_engine_facts(heartbeat.engines);
   if (membership_.changes() != changes_before) {
     log_event(LogArea::kCluster, LogLevel::kDebug, "members_changed",
               {{"usable", membership_.usable().size()}});
@@ -98,25 +98,25 @@
   return found == revisions_.end() ? 0 : found->second;
 }
 
-void ClusterService::learn_engines(const std::vector<EngineFact>& facts) {
-  const auto learned = engine_facts_.learn(facts, membership_.usable().size());
-  if (!learned.empty()) hooks_.on_engine_facts(learned);
+void ClusterService::merge_engine_facts(const std::vector<EngineFact>& facts) {
+  const auto changed_facts = engine_facts_.learn(facts, membership_.usable().size());
+  if (!changed_facts.empty()) hooks_.on_engine_facts(changed_facts);
 }
 
 void ClusterService::pull_facts_if_behind(const Heartbeat& heartbeat) {
   const MonotonicTime now = runtime_.now();
   const bool behind = heartbeat.engines_digest != engine_facts_.digest();
   const MemberFact* peer = membership_.find(heartbeat.from);
-  if (!behind || pulling_facts_ || now < next_facts_pull_ || peer == nullptr) return;
-  pulling_facts_ = true;
-  next_facts_pull_ = now + kFactsPullEvery;
+  if (!behind || facts_pull_pending_ || now < next_facts_pull_ || peer == nullptr) return;
+  facts_pull_pending_ = true;
+  next_facts_pull_ = now + kFactsPullInterval;
   call(peer->address, FactsPull{}, [this](const auto& answer) {
-    pulling_facts_ = false;
+    facts_pull_pending_ = false;
     if (!answer) return;
     const auto* facts = std::get_if<FactsReply>(&*answer);
     if (facts == nullptr) return;
     membership_.on_facts(runtime_.now(), facts->members);
-    learn_engines(facts->engines);
+    merge_engine_facts(facts->engines);
   });
 }
 
@@ -137,7 +137,7 @@
 std::vector<MemberFact> ClusterService::candidates(const std::string& duty,
                                                    std::size_t count) const {
   Ranking& ranking = rankings_[duty];
-  const bool current = ranking.at_change == membership_.changes() && ranking.count == count;
+  const bool current = ranking.change_count == membership_.changes() && ranking.count == count;
   if (current && !ranking.members.empty()) return ranking.members;
   std::vector<MemberFact> members = membership_.usable();
   std::erase_if(members,
@@ -156,8 +156,8 @@
   }
 }
 
-void ClusterService::publish(const std::vector<EngineFact>& facts) {
-  learn_engines(facts);
+void ClusterService::publish_engine_facts(const std::vector<EngineFact>& facts) {
+  merge_engine_facts(facts);
 }
 
 void ClusterService::announce_revision(Revision revision) {
--- a/src/node/cluster_service.hpp
+++ b/src/node/cluster_service.hpp
@@ -47,13 +47,13 @@
   Revision revision_of(const NodeId& node) const;
 
   /// Addresses from the platform's machine list.
-  void hint(const std::vector<std::string>& addresses) { membership_.hint(addresses); }
+  void set_address_hints(const std::vector<std::string>& addresses) { membership_.hint(addresses); }
 
   /// Tells everybody that this node is leaving.
   void leave();
 
   /// Spreads what a controller on this node knows of engines.
-  void publish(const std::vector<EngineFact>& facts);
+  void publish_engine_facts(const std::vector<EngineFact>& facts);
 
   /// @return the newest facts of all engines.
   std::vector<EngineFact> engine_facts() const { return engine_facts_.all(); }
@@ -78,7 +78,7 @@
   void on_datagram(std::string_view text, const std::string& sender);
   void on_heartbeat(const Heartbeat& heartbeat, const std::string& sender);
   void on_frame(const std::string& frame, const std::function<void(std::string)>& reply);
-  void learn_engines(const std::vector<EngineFact>& facts);
+  void merge_engine_facts(const std::vector<EngineFact>& facts);
   void pull_facts_if_behind(const Heartbeat& heartbeat);
 
   Runtime& runtime_;
@@ -88,14 +88,14 @@
   EngineFacts engine_facts_;
   std::map<NodeId, Revision> revisions_;
   struct Ranking {
-    std::uint64_t at_change = 0;
+    std::uint64_t change_count = 0;
     std::size_t count = 0;
     std::vector<MemberFact> members;
   };
   mutable std::map<std::string, Ranking> rankings_;  ///< By duty.
   std::mt19937_64 random_;
   MonotonicTime next_facts_pull_{};
-  bool pulling_facts_ = false;
+  bool facts_pull_pending_ = false;
   Periodic ticker_;
 };
 
--- a/src/node/config_service.cpp
+++ b/src/node/config_service.cpp
@@ -8,18 +8,18 @@
 namespace shuntbank {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(200);
+constexpr Duration kTickInterval = std::chrono::milliseconds(200);
 
 /// Nodes of a region that read the platform; the others learn from them.
 constexpr std::size_t kReadersPerRegion = 2;
 
 /// An operator waits this long for the fate of a write that got no answer.
-constexpr Duration kSettleWithin = std::chrono::seconds(8);
-constexpr Duration kSettleAgainAfter = std::chrono::milliseconds(300);
+constexpr Duration kWriteConfirmTimeout = std::chrono::seconds(8);
+constexpr Duration kWriteConfirmInterval = std::chrono::milliseconds(300);
 
 constexpr std::size_t kWriteIdBytes = 8;
 
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(300);
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(300);
 constexpr std::uint32_t kMaxBackoffDoublings = 5;
 
 }  // namespace
@@ -30,7 +30,7 @@
   ChangeHandler handler;
   std::string write_id;
   std::optional<ConfigDocument> written;  ///< Set once a write was sent.
-  MonotonicTime settle_until{};
+  MonotonicTime confirm_deadline{};
 };
 
 ConfigService::ConfigService(Runtime& runtime, ObjectClient& platform, std::uint64_t seed,
@@ -38,7 +38,7 @@
     : runtime_(runtime), platform_(platform), on_adopted_(std::move(on_adopted)), random_(seed) {}
 
 void ConfigService::start() {
-  ticker_ = std::make_unique<Periodic>(runtime_, kTick, [this] { tick(); });
+  ticker_ = std::make_unique<Periodic>(runtime_, kTickInterval, [this] { tick(); });
   tick();
 }
 
@@ -50,40 +50,41 @@
 }
 
 void ConfigService::tick() {
-  if (reading_ || runtime_.now() < next_read_) return;
+  if (read_pending_ || runtime_.now() < next_read_) return;
   // A starting node reads once by itself: a revision learnt only from a peer could be old.
   if (!ready()) return read_platform();
   if (is_reader()) watch_platform();
 }
 
 void ConfigService::read_platform() {
-  reading_ = true;
+  read_pending_ = true;
   platform_.read(kConfigKey, [this](const auto& result) { on_platform_value(result); });
 }
 
 void ConfigService::watch_platform() {
-  reading_ = true;
+  read_pending_ = true;
   platform_.watch(kConfigKey, platform_version_,
                   [this](const auto& result) { on_platform_value(result); });
 }
 
 void ConfigService::on_platform_value(
     const tl::expected<std::optional<VersionedValue>, PlatformError>& result) {
-  reading_ = false;
-  platform_answers_ = result.has_value();
+  read_pending_ = false;
+  platform_reachable_ = result.has_value();
   if (!result) {
     // Doubled and jittered, so that a store that comes back is not run over.
-    const auto backoff = kFirstBackoff * (1 << std::min(failures_, kMaxBackoffDoublings));
+    const auto backoff =
+        kInitialBackoff * (1 << std::min(consecutive_failures_, kMaxBackoffDoublings));
     next_read_ = runtime_.now() + backoff / 2 + Duration(random_() % backoff.count());
-    ++failures_;
+    ++consecutive_failures_;
     return;
   }
-  failures_ = 0;
+  consecutive_failures_ = 0;
   if (!result->has_value()) {
     // Nothing was ever declared, so the empty configuration is the confirmed one; or a watch
     // brought no news.
-    if (!ready()) after_offer(replica_.offer(ConfigDocument{}));
-    next_read_ = runtime_.now() + kFirstBackoff;
+    if (!ready()) on_offer_result(replica_.offer(ConfigDocument{}));
+    next_read_ = runtime_.now() + kInitialBackoff;
     return;
   }
   platform_version_ = (*result)->version;
@@ -97,10 +98,10 @@
               {{"findings", document.error().to_text()}});
     return;
   }
-  after_offer(replica_.offer(*document));
+  on_offer_result(replica_.offer(*document));
 }
 
-void ConfigService::after_offer(OfferResult result) {
+void ConfigService::on_offer_result(OfferResult result) {
   if (result == OfferResult::kInvalid) {
     log_event(LogArea::kConfig, LogLevel::kError, "revision_invalid",
               {{"findings", replica_.findings().to_text()}});
@@ -114,18 +115,19 @@
 
 void ConfigService::on_peer_revision(const MemberFact& peer, Revision revision) {
   // While the platform does not answer, a starting node takes a peer's word: revisions only grow.
-  const bool may_pull = ready() || failures_ > 0;
+  const bool may_pull = ready() || consecutive_failures_ > 0;
   if (may_pull && revision > replica_.revision()) pull_from(peer.address);
 }
 
 void ConfigService::pull_from(const std::string& address) {
-  if (pulling_) return;
-  pulling_ = true;
+  if (pull_pending_) return;
+  pull_pending_ = true;
   cluster_->call(address, ConfigPull{replica_.revision()}, [this](const auto& answer) {
-    pulling_ = false;
+    pull_pending_ = false;
     if (!answer) return;
     const auto* changes = std::get_if<ConfigChanges>(&*answer);
-    if (changes != nullptr) after_offer(replica_.offer_changes(changes->base, changes->document));
+    if (changes != nullptr)
+      on_offer_result(replica_.offer_changes(changes->base, changes->document));
   });
 }
 
@@ -138,21 +140,21 @@
   change->write_id = runtime_.random_hex(kWriteIdBytes);
   change->edits = std::move(edits);
   change->handler = std::move(handler);
-  read_for(change);
+  read_for_change(change);
 }
 
-void ConfigService::read_for(const std::shared_ptr<Change>& change) {
+void ConfigService::read_for_change(const std::shared_ptr<Change>& change) {
   platform_.read(kConfigKey, [this, change](const auto& stored) {
     if (!stored) {
       return change->handler(
           tl::make_unexpected(ChangeFailure{ChangeFailure::Kind::kUnavailable, {}}));
     }
-    write_for(change, *stored);
+    write_change(change, *stored);
   });
 }
 
-void ConfigService::write_for(const std::shared_ptr<Change>& change,
-                              const std::optional<VersionedValue>& stored) {
+void ConfigService::write_change(const std::shared_ptr<Change>& change,
+                                 const std::optional<VersionedValue>& stored) {
   ConfigDocument current;
   if (stored) {
     const auto document = document_from_json(stored->value);
@@ -169,32 +171,35 @@
         tl::make_unexpected(ChangeFailure{ChangeFailure::Kind::kRefused, next.error()}));
   }
   change->written = *next;
-  change->settle_until = runtime_.now() + kSettleWithin;
+  change->confirm_deadline = runtime_.now() + kWriteConfirmTimeout;
   const std::uint64_t version = stored ? stored->version : 0;
   platform_.write(kConfigKey, version, to_json(*next), [this, change](const auto& result) {
-    if (!result) return settle(change);
-    if (result->applied) return accept(change, *change->written);
-    read_for(change);  // Somebody else was faster: judge the edits against what is stored now.
+    if (!result) return confirm_write(change);
+    if (result->applied) return complete_change(change, *change->written);
+    read_for_change(
+        change);  // Somebody else was faster: judge the edits against what is stored now.
   });
 }
 
-void ConfigService::settle(const std::shared_ptr<Change>& change) {
+void ConfigService::confirm_write(const std::shared_ptr<Change>& change) {
   platform_.read(kConfigKey, [this, change](const auto& stored) {
     if (stored && stored->has_value()) {
       const auto document = document_from_json((*stored)->value);
-      if (document && document->contains_write(change->write_id)) return accept(change, *document);
+      if (document && document->contains_write(change->write_id))
+        return complete_change(change, *document);
     }
     // Not there (yet): the write may still be on its way, so it must not be sent again blindly, and
     // it cannot be called refused either.
-    if (runtime_.now() >= change->settle_until) {
+    if (runtime_.now() >= change->confirm_deadline) {
       return change->handler(tl::make_unexpected(ChangeFailure{ChangeFailure::Kind::kUnknown, {}}));
     }
-    call_after(runtime_, kSettleAgainAfter, [this, change] { settle(change); });
+    call_after(runtime_, kWriteConfirmInterval, [this, change] { confirm_write(change); });
   });
 }
 
-void ConfigService::accept(const std::shared_ptr<Change>& change, const ConfigDocument& document) {
-  after_offer(replica_.offer(document));
+void ConfigService::complete_change(const std::shared_ptr<Change>& change,
+                                    const ConfigDocument& document) {
+  on_offer_result(replica_.offer(document));
   change->handler(document.revision);
 }
 
--- a/src/node/config_service.hpp
+++ b/src/node/config_service.hpp
@@ -36,7 +36,7 @@
                 AdoptedHandler on_adopted);
 
   /// Names the cluster service, which is built after this one.
-  void attach(ClusterService& cluster) { cluster_ = &cluster; }
+  void set_cluster(ClusterService& cluster) { cluster_ = &cluster; }
 
   /// Starts reading.
   void start();
@@ -47,7 +47,7 @@
   bool ready() const { return replica_.snapshot() != nullptr; }
 
   /// @return whether the last call to the platform was answered.
-  bool platform_answers() const { return platform_answers_; }
+  bool platform_reachable() const { return platform_reachable_; }
 
   /// Applies an operator's edits: all or none.
   /// @param handler called with the new revision once the platform holds it, or the failure.
@@ -70,12 +70,12 @@
   void on_platform_value(const tl::expected<std::optional<VersionedValue>, PlatformError>& result);
   void adopt_document(const nlohmann::json& value);
   void pull_from(const std::string& address);
-  void after_offer(OfferResult result);
-  void read_for(const std::shared_ptr<Change>& change);
-  void write_for(const std::shared_ptr<Change>& change,
-                 const std::optional<VersionedValue>& stored);
-  void settle(const std::shared_ptr<Change>& change);
-  void accept(const std::shared_ptr<Change>& change, const ConfigDocument& document);
+  void on_offer_result(OfferResult result);
+  void read_for_change(const std::shared_ptr<Change>& change);
+  void write_change(const std::shared_ptr<Change>& change,
+                    const std::optional<VersionedValue>& stored);
+  void confirm_write(const std::shared_ptr<Change>& change);
+  void complete_change(const std::shared_ptr<Change>& change, const ConfigDocument& document);
 
   Runtime& runtime_;
   ObjectClient& platform_;
@@ -85,11 +85,11 @@
   ConfigReplica replica_;
   std::mt19937_64 random_;
   std::uint64_t platform_version_ = 0;
-  bool platform_answers_ = false;
-  bool reading_ = false;
-  bool pulling_ = false;
+  bool platform_reachable_ = false;
+  bool read_pending_ = false;
+  bool pull_pending_ = false;
   MonotonicTime next_read_{};
-  std::uint32_t failures_ = 0;
+  std::uint32_t consecutive_failures_ = 0;
   std::unique_ptr<Periodic> ticker_;
 };
 
--- a/src/node/control_service.cpp
+++ b/src/node/control_service.cpp
@@ -10,8 +10,8 @@
 namespace shuntbank {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
-constexpr Duration kPlanEvery = std::chrono::seconds(1);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
+constexpr Duration kPlanInterval = std::chrono::seconds(1);
 
 /// Nodes that stand by for each lease, the preferred holder included.
 constexpr std::size_t kLeaseCandidates = 2;
@@ -20,7 +20,7 @@
 
 const Policy kDefaultPolicy;
 
-bool allows_split(const Service& service) {
+bool allows_disaggregation(const Service& service) {
   const auto allows = [&service](EngineRole role) {
     return std::find(service.allowed_roles.begin(), service.allowed_roles.end(), role) !=
            service.allowed_roles.end();
@@ -31,14 +31,14 @@
 }  // namespace
 
 ControlService::ControlService(Runtime& runtime, ObjectClient& platform, EngineClient& engines,
-                               ClusterService& cluster, RegionName region, Duration lease_length)
+                               ClusterService& cluster, RegionName region, Duration lease_duration)
     : runtime_(runtime),
       platform_(platform),
       engines_(engines),
       cluster_(cluster),
       region_(std::move(region)),
-      lease_settings_{lease_length, lease_length / 4, lease_length / 5},
-      ticker_(runtime, kTick, [this] { tick(); }) {}
+      lease_settings_{lease_duration, lease_duration / 4, lease_duration / 5},
+      ticker_(runtime, kTickInterval, [this] { tick(); }) {}
 
 void ControlService::configure(const SnapshotPointer& snapshot) {
   snapshot_ = snapshot;
@@ -92,9 +92,9 @@
 void ControlService::run_lease(const ServiceName& service, Duty& duty) {
   const MonotonicTime now = runtime_.now();
   const int rank = rank_of_self(service);
-  const bool holding = duty.lease.authority(now).has_value();
+  const bool has_authority = duty.lease.authority(now).has_value();
   // A standby looks less often, so that the preferred holder goes first and the store is spared.
-  if (rank > 0 && !holding) {
+  if (rank > 0 && !has_authority) {
     if (now < duty.next_standby_poll) return;
     duty.next_standby_poll = now + lease_settings_.length / 2;
   }
@@ -138,7 +138,7 @@
   duty.controller.reset();
 }
 
-void ControlService::set_up_controller(const ServiceName& service, Duty& duty, Fence fence) {
+void ControlService::create_controller(const ServiceName& service, Duty& duty, Fence fence) {
   drop_controller(duty);
   duty.controller = std::make_unique<EngineController>(fence, ControllerSettings{}, duty.counters);
   duty.planner.reset();
@@ -158,14 +158,14 @@
     return;
   }
   if (!duty.controller || duty.controller->fence() != *fence) {
-    set_up_controller(service, duty, *fence);
+    create_controller(service, duty, *fence);
   }
   if (duty.controller->superseded()) return duty.lease.resign();
   plan_roles(service, duty);
   for (const ControlCommand& command : duty.controller->poll(runtime_.now())) {
     execute(service, command);
   }
-  cluster_.publish(duty.controller->facts());
+  cluster_.publish_engine_facts(duty.controller->facts());
 }
 
 void ControlService::execute(const ServiceName& service, const ControlCommand& command) {
@@ -214,8 +214,8 @@
 void ControlService::plan_roles(const ServiceName& service, Duty& duty) {
   const MonotonicTime now = runtime_.now();
   const Service* declared = snapshot_->find_service(service);
-  if (now < duty.next_plan || !allows_split(*declared)) return;
-  duty.next_plan = now + kPlanEvery;
+  if (now < duty.next_plan || !allows_disaggregation(*declared)) return;
+  duty.next_plan = now + kPlanInterval;
   if (!duty.planner) {
     PlannerSettings settings;
     settings.role_change_cost = policy_for(service).role_change_cost;
@@ -247,23 +247,23 @@
   }
 }
 
-std::vector<ControlService::DutyLine> ControlService::lines() const {
-  std::vector<DutyLine> lines;
+std::vector<ControlService::DutyStatus> ControlService::duty_statuses() const {
+  std::vector<DutyStatus> statuses;
   for (const auto& [service, duty] : duties_) {
-    DutyLine line;
-    line.service = service;
-    line.holder = duty.lease.last_seen().record.holder;
-    line.fence = duty.lease.authority(runtime_.now());
-    line.plan = duty.plan;
-    line.role_changes = duty.role_changes_before;
+    DutyStatus status;
+    status.service = service;
+    status.holder = duty.lease.last_seen().record.holder;
+    status.fence = duty.lease.authority(runtime_.now());
+    status.plan = duty.plan;
+    status.role_changes = duty.role_changes_before;
     if (duty.controller) {
-      line.role_changes += duty.controller->role_changes();
-      line.put_off = duty.controller->put_off();
-      line.engines = duty.controller->lines();
+      status.role_changes += duty.controller->role_changes();
+      status.drain_timeouts = duty.controller->put_off();
+      status.engines = duty.controller->lines();
     }
-    lines.push_back(std::move(line));
+    statuses.push_back(std::move(status));
   }
-  return lines;
+  return statuses;
 }
 
 }  // namespace shuntbank
--- a/src/node/control_service.hpp
+++ b/src/node/control_service.hpp
@@ -24,7 +24,7 @@
 class ControlService {
  public:
   ControlService(Runtime& runtime, ObjectClient& platform, EngineClient& engines,
-                 ClusterService& cluster, RegionName region, Duration lease_length);
+                 ClusterService& cluster, RegionName region, Duration lease_duration);
 
   /// A new configuration is in force.
   void configure(const SnapshotPointer& snapshot);
@@ -39,16 +39,16 @@
   void resign();
 
   /// One duty in `status`.
-  struct DutyLine {
+  struct DutyStatus {
     ServiceName service;
     NodeId holder;               ///< As last seen in the store; empty when nobody was.
     std::optional<Fence> fence;  ///< Set while this node may act.
     std::string plan;
     std::uint64_t role_changes = 0;
-    std::uint64_t put_off = 0;
+    std::uint64_t drain_timeouts = 0;
     std::vector<EngineController::Line> engines;
   };
-  std::vector<DutyLine> lines() const;
+  std::vector<DutyStatus> duty_statuses() const;
 
  private:
   struct Duty {
@@ -70,7 +70,7 @@
   void write_lease(const ServiceName& service, const VersionedLease& lease);
   void run_controller(const ServiceName& service, Duty& duty);
   void drop_controller(Duty& duty);
-  void set_up_controller(const ServiceName& service, Duty& duty, Fence fence);
+  void create_controller(const ServiceName& service, Duty& duty, Fence fence);
   void execute(const ServiceName& service, const ControlCommand& command);
   void on_engine_answer(const ServiceName& service, Fence fence, const EngineId& engine,
                         const tl::expected<EngineState, EngineCallError>& answer);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -17,17 +17,17 @@
 namespace shuntbank {
 namespace {
 
-constexpr Duration kDemandEvery = std::chrono::seconds(4);
+constexpr Duration kDemandReportInterval = std::chrono::seconds(4);
 /// Between two counts of the nodes that share limits and engines: until the first, a node that has
 /// just started takes itself for the only one.
-constexpr Duration kShareEvery = std::chrono::milliseconds(500);
-constexpr Duration kMachinesEvery = std::chrono::seconds(3);
-constexpr Duration kLinger = std::chrono::milliseconds(500);
-constexpr Duration kLeaveTick = std::chrono::milliseconds(50);
+constexpr Duration kLimitShareInterval = std::chrono::milliseconds(500);
+constexpr Duration kMachineListInterval = std::chrono::seconds(3);
+constexpr Duration kLateArrivalGrace = std::chrono::milliseconds(500);
+constexpr Duration kLeavePollInterval = std::chrono::milliseconds(50);
 constexpr double kRetryReserve = 20;
 
-std::uint64_t choose_seed(std::uint64_t wanted) {
-  return wanted != 0 ? wanted : std::random_device{}();
+std::uint64_t choose_seed(std::uint64_t configured) {
+  return configured != 0 ? configured : std::random_device{}();
 }
 
 MemberFact self_fact(const Runtime& runtime, const NodeSettings& settings) {
@@ -53,26 +53,27 @@
         platform_(io.http, settings.platform),
         engine_client_(io.http),
         router_(RoutingSettings{}, seed_),
-        retries_(settings.retry_share, kRetryReserve),
+        retry_budget_(settings.retry_budget_ratio, kRetryReserve),
         config_(io.runtime, platform_, seed_,
                 [this](const SnapshotPointer& snapshot) { on_config(snapshot); }),
         cluster_(io.runtime, io.peers, self_fact(io.runtime, settings), seed_, cluster_hooks()),
         control_(io.runtime, platform_, engine_client_, cluster_, RegionName(settings.region),
-                 settings.lease_length),
+                 settings.lease_duration),
         claims_(io.runtime, platform_, cluster_, RegionName(settings.region),
                 settings.claim_retention),
-        context_{io.runtime, settings_, io.http, engines_, router_, retries_, metrics_, claims_},
+        context_{io.runtime, settings_,     io.http,  engines_,
+                 router_,    retry_budget_, metrics_, claims_},
         queue_(context_),
         caller_api_(io.runtime, settings_, config_, queue_, metrics_),
         operator_api_(
-            config_, cluster_, control_, claims_, metrics_, [this] { return reasons(); },
+            config_, cluster_, control_, claims_, metrics_, [this] { return not_ready_reasons(); },
             [this] { leave(); }),
-        share_timer_(io.runtime, kShareEvery, [this] { share_limits(); }),
-        demand_timer_(io.runtime, kDemandEvery, [this] { report_demand(); }),
-        machines_timer_(io.runtime, kMachinesEvery, [this] { read_machines(); }) {
-    config_.attach(cluster_);
+        limit_share_timer_(io.runtime, kLimitShareInterval, [this] { update_limit_share(); }),
+        demand_timer_(io.runtime, kDemandReportInterval, [this] { report_demand(); }),
+        machine_list_timer_(io.runtime, kMachineListInterval, [this] { refresh_machines(); }) {
+    config_.set_cluster(cluster_);
     config_.start();
-    read_machines();
+    refresh_machines();
   }
 
   void handle_caller(HttpRequest request, const std::shared_ptr<HttpResponder>& responder) {
@@ -96,8 +97,9 @@
     cluster_.leave();
     control_.resign();
     claims_.resign();
-    grace_ends_ = runtime_.now() + settings_.leave_grace;
-    leave_timer_ = std::make_unique<Periodic>(runtime_, kLeaveTick, [this] { continue_leaving(); });
+    grace_end_ = runtime_.now() + settings_.leave_grace;
+    leave_timer_ =
+        std::make_unique<Periodic>(runtime_, kLeavePollInterval, [this] { continue_leaving(); });
   }
 
  private:
@@ -112,7 +114,9 @@
     };
     hooks.on_demand = [this](const DemandReport& report) { control_.on_demand(report); };
     hooks.on_config_pull = [this](const ConfigPull& pull) { return config_.on_pull(pull); };
-    hooks.on_claim_message = [this](const Message& message) { return claims_.answer(message); };
+    hooks.on_claim_message = [this](const Message& message) {
+      return claims_.handle_message(message);
+    };
     return hooks;
   }
 
@@ -127,12 +131,12 @@
     control_.configure(snapshot);
   }
 
-  void share_limits() {
+  void update_limit_share() {
     const auto& usable = cluster_.usable();
     const auto in_region = std::count_if(usable.begin(), usable.end(), [this](const auto& member) {
       return member.region.value() == settings_.region;
     });
-    queue_.set_nodes(static_cast<std::size_t>(in_region));
+    queue_.set_node_count(static_cast<std::size_t>(in_region));
   }
 
   void report_demand() {
@@ -145,7 +149,7 @@
       const auto found = demand.find(name);
       const RequestQueue::Demand tokens =
           found == demand.end() ? RequestQueue::Demand{} : found->second;
-      const double seconds = to_seconds(kDemandEvery);
+      const double seconds = to_seconds(kDemandReportInterval);
       const DemandReport report{NodeId(settings_.name), name, tokens.prefill_tokens / seconds,
                                 tokens.decode_tokens / seconds};
       if (controller->node == cluster_.self().node) {
@@ -156,7 +160,7 @@
     }
   }
 
-  void read_machines() {
+  void refresh_machines() {
     platform_.list_machines([this](const auto& machines) {
       if (!machines) return;
       std::vector<std::string> hints;
@@ -164,11 +168,11 @@
         if (machine.kind == "node") hints.push_back(machine.address);
         if (machine.kind == "engine") engines_.set_leaving(EngineId(machine.name), machine.leaving);
       }
-      cluster_.hint(hints);
+      cluster_.set_address_hints(hints);
     });
   }
 
-  std::string reasons() const {
+  std::string not_ready_reasons() const {
     std::string reasons;
     if (!config_.ready()) reasons += "no configuration was confirmed yet\n";
     if (leaving_) reasons += "the node is leaving\n";
@@ -176,10 +180,10 @@
   }
 
   void continue_leaving() {
-    if (runtime_.now() < grace_ends_) return;
+    if (runtime_.now() < grace_end_) return;
     if (const auto close = std::exchange(close_callers_, nullptr)) close();
     // Requests that were on their way when the interface closed still arrive.
-    if (queue_.open_requests() > 0 || runtime_.now() < grace_ends_ + kLinger) return;
+    if (queue_.open_requests() > 0 || runtime_.now() < grace_end_ + kLateArrivalGrace) return;
     if (std::exchange(left_, true)) return;
     log_event(LogArea::kProcess, LogLevel::kInfo, "left");
     on_left_();
@@ -193,7 +197,7 @@
   EngineClient engine_client_;
   EngineTable engines_;
   Router router_;
-  RetryBudget retries_;
+  RetryBudget retry_budget_;
   Metrics metrics_;
   ConfigService config_;
   ClusterService cluster_;
@@ -203,13 +207,13 @@
   RequestQueue queue_;
   CallerApi caller_api_;
   OperatorApi operator_api_;
-  Periodic share_timer_;
+  Periodic limit_share_timer_;
   Periodic demand_timer_;
-  Periodic machines_timer_;
+  Periodic machine_list_timer_;
   bool leaving_ = false;
   bool left_ = false;
   std::function<void()> close_callers_;
-  MonotonicTime grace_ends_{};
+  MonotonicTime grace_end_{};
 
   std::unique_ptr<Periodic> leave_timer_;
 };
--- a/src/node/node_server.cpp
+++ b/src/node/node_server.cpp
@@ -18,8 +18,8 @@
   server.listen = *parse_endpoint(settings.callers_listen);
   server.max_connections = settings.max_connections;
   server.max_body = settings.max_body * kBodySlackFactor;
-  server.idle_timeout = settings.caller_idle;
-  server.write_timeout = settings.slow_reader;
+  server.idle_timeout = settings.caller_idle_timeout;
+  server.write_timeout = settings.caller_write_timeout;
   return server;
 }
 
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -48,17 +48,17 @@
       {{"error", "invalid"}, {"changed", "no"}, {"findings", to_json(failure.refusal.findings)}});
 }
 
-json to_json(const EngineController::Line& line) {
-  json item{{"engine", line.engine.value()},
-            {"phase", to_text(line.phase)},
-            {"wanted_role", to_text(line.wanted)},
-            {"answers", line.answers}};
-  if (!line.state) return item;
-  item["role"] = to_text(line.state->role);
-  item["fence"] = line.state->stamp.fence;
-  item["sequence"] = line.state->stamp.sequence;
-  item["active"] = line.state->active;
-  item["changing"] = line.state->changing;
+json to_json(const EngineController::Line& status) {
+  json item{{"engine", status.engine.value()},
+            {"phase", to_text(status.phase)},
+            {"wanted_role", to_text(status.wanted)},
+            {"answers", status.answers}};
+  if (!status.state) return item;
+  item["role"] = to_text(status.state->role);
+  item["fence"] = status.state->stamp.fence;
+  item["sequence"] = status.state->stamp.sequence;
+  item["active"] = status.state->active;
+  item["changing"] = status.state->changing;
   return item;
 }
 
@@ -66,14 +66,14 @@
 
 OperatorApi::OperatorApi(ConfigService& config, const ClusterService& cluster,
                          const ControlService& control, const ClaimService& claims,
-                         Metrics& metrics, std::function<std::string()> reasons,
+                         Metrics& metrics, std::function<std::string()> not_ready_reasons,
                          std::function<void()> on_leave)
     : config_(config),
       cluster_(cluster),
       control_(control),
       claims_(claims),
       metrics_(metrics),
-      reasons_(std::move(reasons)),
+      not_ready_reasons_(std::move(not_ready_reasons)),
       on_leave_(std::move(on_leave)) {}
 
 void OperatorApi::handle(const HttpRequest& request, const Responder& responder) {
@@ -84,8 +84,8 @@
     metrics_.set_members(static_cast<double>(cluster_.usable().size()));
     metrics_.set_control_bytes(static_cast<double>(cluster_.bytes_sent()),
                                static_cast<double>(cluster_.bytes_received()));
-    for (const auto& line : control_.lines()) {
-      metrics_.set_role_changes(line.service.value(), static_cast<double>(line.role_changes));
+    for (const auto& duty : control_.duty_statuses()) {
+      metrics_.set_role_changes(duty.service.value(), static_cast<double>(duty.role_changes));
     }
     return responder->respond(
         {200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics_.to_text()});
@@ -118,7 +118,7 @@
 }
 
 HttpReply OperatorApi::readiness() const {
-  const std::string reasons = reasons_();
+  const std::string reasons = not_ready_reasons_();
   if (reasons.empty()) return {200, {}, "ready\n"};
   return {503, {}, reasons};
 }
@@ -144,15 +144,15 @@
                        {"revision", cluster_.revision_of(member.node)}});
   }
   json duties = json::array();
-  for (const auto& line : control_.lines()) {
-    json item{{"service", line.service.value()},
-              {"holder", line.holder.value()},
-              {"plan", line.plan},
-              {"role_changes", line.role_changes},
-              {"put_off", line.put_off},
+  for (const auto& duty : control_.duty_statuses()) {
+    json item{{"service", duty.service.value()},
+              {"holder", duty.holder.value()},
+              {"plan", duty.plan},
+              {"role_changes", duty.role_changes},
+              {"put_off", duty.drain_timeouts},
               {"engines", json::array()}};
-    if (line.fence) item["fence"] = *line.fence;
-    for (const auto& engine : line.engines) item["engines"].push_back(to_json(engine));
+    if (duty.fence) item["fence"] = *duty.fence;
+    for (const auto& engine : duty.engines) item["engines"].push_back(to_json(engine));
     duties.push_back(std::move(item));
   }
   json engines = json::array();
@@ -166,7 +166,7 @@
           {"zone", cluster_.self().zone.value()},
           {"region", cluster_.self().region.value()},
           {"revision", config_.replica().revision()},
-          {"platform_answers", config_.platform_answers()},
+          {"platform_answers", config_.platform_reachable()},
           {"members", std::move(members)},
           {"duties", std::move(duties)},
           {"claims", claims_json()},
--- a/src/node/operator_api.hpp
+++ b/src/node/operator_api.hpp
@@ -19,10 +19,10 @@
 /// Serves operators.
 class OperatorApi {
  public:
-  /// @param reasons names why the node is not ready; empty text when it is.
+  /// @param not_ready_reasons names why the node is not ready; empty text when it is.
   OperatorApi(ConfigService& config, const ClusterService& cluster, const ControlService& control,
-              const ClaimService& claims, Metrics& metrics, std::function<std::string()> reasons,
-              std::function<void()> on_leave);
+              const ClaimService& claims, Metrics& metrics,
+              std::function<std::string()> not_ready_reasons, std::function<void()> on_leave);
 
   void handle(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder);
 
@@ -39,7 +39,7 @@
   const ControlService& control_;
   const ClaimService& claims_;
   Metrics& metrics_;
-  std::function<std::string()> reasons_;
+  std::function<std::string()> not_ready_reasons_;
   std::function<void()> on_leave_;
 };
 
--- a/src/node/request_queue.cpp
+++ b/src/node/request_queue.cpp
@@ -7,9 +7,9 @@
 namespace shuntbank {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(50);
-constexpr Duration kOverloadRetry = std::chrono::seconds(2);
-constexpr double kHoldSmoothing = 0.05;
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
+constexpr Duration kOverloadRetryAfter = std::chrono::seconds(2);
+constexpr double kServiceTimeSmoothing = 0.05;
 
 const char* describe(LimitKind kind) {
   switch (kind) {
@@ -32,15 +32,15 @@
 RequestQueue::RequestQueue(ServingContext& context)
     : context_(context),
       limiter_(context.runtime.now()),
-      ticker_(context.runtime, kTick, [this] { expire(); }) {}
+      ticker_(context.runtime, kTickInterval, [this] { tick(); }) {}
 
-void RequestQueue::set_nodes(std::size_t nodes) {
-  nodes_ = std::max<std::size_t>(1, nodes);
-  limiter_.set_share(1.0 / static_cast<double>(nodes_));
+void RequestQueue::set_node_count(std::size_t node_count) {
+  node_count_ = std::max<std::size_t>(1, node_count);
+  limiter_.set_share(1.0 / static_cast<double>(node_count_));
 }
 
 RequestQueue::Lane& RequestQueue::lane_of(const ServiceName& service) {
-  return lanes_.try_emplace(service, context_.settings.max_queue).first->second;
+  return lanes_.try_emplace(service, context_.settings.max_queue_length).first->second;
 }
 
 std::size_t RequestQueue::capacity(const SessionRequest& request) const {
@@ -50,24 +50,25 @@
     const EngineEntry* entry = context_.engines.find(engine);
     if (entry != nullptr && context_.engines.is_eligible(now, *entry)) ++eligible;
   }
-  const double window = static_cast<double>(context_.settings.engine_window * eligible);
-  return static_cast<std::size_t>(std::ceil(window / static_cast<double>(nodes_)));
+  const double window = static_cast<double>(context_.settings.max_in_flight_per_engine * eligible);
+  return static_cast<std::size_t>(std::ceil(window / static_cast<double>(node_count_)));
 }
 
-std::optional<CallerError> RequestQueue::refusal(const Lane& lane, const SessionRequest& request,
-                                                 const Policy& policy) const {
-  const std::size_t room = std::max<std::size_t>(1, capacity(request));
-  const double wait =
-      static_cast<double>(lane.queue.size()) * lane.hold_seconds / static_cast<double>(room);
-  const bool too_late = from_seconds(wait) > context_.settings.queue_deadline;
-  if (too_late || lane.queue.size() >= context_.settings.max_queue) {
+std::optional<CallerError> RequestQueue::check_admission(const Lane& lane,
+                                                         const SessionRequest& request,
+                                                         const Policy& policy) const {
+  const std::size_t slots = std::max<std::size_t>(1, capacity(request));
+  const double wait = static_cast<double>(lane.queue.size()) * lane.mean_service_seconds /
+                      static_cast<double>(slots);
+  const bool too_late = from_seconds(wait) > context_.settings.queue_timeout;
+  if (too_late || lane.queue.size() >= context_.settings.max_queue_length) {
     return CallerError{ErrorCode::kOverloaded, "too many requests wait for an engine",
-                       RequestOutcome::kNotRun, std::max(kOverloadRetry, from_seconds(wait))};
+                       RequestOutcome::kNotRun, std::max(kOverloadRetryAfter, from_seconds(wait))};
   }
-  const std::uint32_t most = policy.limits.queue_length;
-  if (most > 0 && lane.queue.size_of(request.tenant) >= most) {
+  const std::uint32_t max_waiting = policy.limits.queue_length;
+  if (max_waiting > 0 && lane.queue.size_of(request.tenant) >= max_waiting) {
     return CallerError{ErrorCode::kTenantLimit, "too many of the tenant's requests wait",
-                       RequestOutcome::kNotRun, kOverloadRetry};
+                       RequestOutcome::kNotRun, kOverloadRetryAfter};
   }
   return std::nullopt;
 }
@@ -83,8 +84,8 @@
   item.weight = weight;
   item.priority = policy.priority;
   item.cost = estimate_tokens(request);
-  item.deadline = now + context_.settings.queue_deadline;
-  std::optional<CallerError> error = refusal(lane, request, policy);
+  item.deadline = now + context_.settings.queue_timeout;
+  std::optional<CallerError> error = check_admission(lane, request, policy);
   bool admitted = false;
   if (!error) {
     const auto limit = limiter_.admit(now, request.tenant, policy.limits, item.cost);
@@ -99,7 +100,7 @@
     demand.prefill_tokens += static_cast<double>(request.prompt_tokens);
     demand.decode_tokens += request.max_output_tokens;
   }
-  ++open_;
+  ++open_requests_;
   auto session = std::make_shared<RequestSession>(
       context_, std::move(request), std::move(responder),
       [this, service, item, admitted, now](const SessionResult& result) {
@@ -113,17 +114,17 @@
                            const QueueItem& item) {
   lane.waiting.emplace(item.id, session);
   lane.queue.push(item);
-  session->watch_while_waiting([&lane, id = item.id] {
+  session->on_disconnect_while_queued([&lane, id = item.id] {
     lane.queue.remove(id);
     lane.waiting.erase(id);
   });
-  pump(lane);
+  dispatch_waiting(lane);
 }
 
-void RequestQueue::pump(Lane& lane) {
+void RequestQueue::dispatch_waiting(Lane& lane) {
   while (lane.queue.size() > 0) {
-    const auto& any = *lane.waiting.begin()->second;
-    if (lane.in_flight >= capacity(any.request())) return;
+    const auto& sample = *lane.waiting.begin()->second;
+    if (lane.in_flight >= capacity(sample.request())) return;
     const auto item = lane.queue.pop();
     const auto entry = lane.waiting.find(item->id);
     const std::shared_ptr<RequestSession> session = entry->second;
@@ -133,7 +134,7 @@
   }
 }
 
-void RequestQueue::expire() {
+void RequestQueue::tick() {
   const MonotonicTime now = context_.runtime.now();
   std::size_t waiting = 0;
   std::size_t in_flight = 0;
@@ -143,9 +144,9 @@
       const std::shared_ptr<RequestSession> session = entry->second;
       lane.waiting.erase(entry);
       session->refuse({ErrorCode::kOverloaded, "no engine had room in time",
-                       RequestOutcome::kNotRun, kOverloadRetry});
+                       RequestOutcome::kNotRun, kOverloadRetryAfter});
     }
-    pump(lane);
+    dispatch_waiting(lane);
     waiting += lane.queue.size();
     in_flight += lane.in_flight;
   }
@@ -154,17 +155,17 @@
 }
 
 void RequestQueue::on_end(const ServiceName& service, const QueueItem& item, bool admitted,
-                          const SessionResult& result, MonotonicTime began) {
-  --open_;
+                          const SessionResult& result, MonotonicTime submitted_at) {
+  --open_requests_;
   if (!admitted) return;
   Lane& lane = lane_of(service);
   limiter_.finish(item.tenant, item.cost, result.tokens);
   lane.queue.settle(item.tenant, item.weight, item.cost, result.tokens);
   if (!result.started) return;
   --lane.in_flight;
-  const double held = to_seconds(context_.runtime.now() - began);
-  lane.hold_seconds += kHoldSmoothing * (held - lane.hold_seconds);
-  pump(lane);
+  const double elapsed = to_seconds(context_.runtime.now() - submitted_at);
+  lane.mean_service_seconds += kServiceTimeSmoothing * (elapsed - lane.mean_service_seconds);
+  dispatch_waiting(lane);
 }
 
 std::map<ServiceName, RequestQueue::Demand> RequestQueue::take_demand() {
--- a/src/node/request_queue.hpp
+++ b/src/node/request_queue.hpp
@@ -20,7 +20,7 @@
   explicit RequestQueue(ServingContext& context);
 
   /// Sets how many nodes share the engines and the limits.
-  void set_nodes(std::size_t nodes);
+  void set_node_count(std::size_t node_count);
 
   /// Admits, queues or refuses. The session gets its answer in any case.
   /// @param policy of the tenant and service; copied.
@@ -28,7 +28,7 @@
               std::shared_ptr<HttpResponder> responder);
 
   /// @return requests that are dispatched or wait.
-  std::size_t open_requests() const { return open_; }
+  std::size_t open_requests() const { return open_requests_; }
 
   /// Tokens that callers asked for since the last call, by service.
   struct Demand {
@@ -43,25 +43,25 @@
     FairQueue queue;
     std::unordered_map<std::uint64_t, std::shared_ptr<RequestSession>> waiting;
     std::size_t in_flight = 0;
-    double hold_seconds = 1;  ///< Smoothed time that a request holds its place.
+    double mean_service_seconds = 1;  ///< Smoothed time that a request holds its place.
   };
 
   Lane& lane_of(const ServiceName& service);
   std::size_t capacity(const SessionRequest& request) const;
-  std::optional<CallerError> refusal(const Lane& lane, const SessionRequest& request,
-                                     const Policy& policy) const;
+  std::optional<CallerError> check_admission(const Lane& lane, const SessionRequest& request,
+                                             const Policy& policy) const;
   void enqueue(Lane& lane, const std::shared_ptr<RequestSession>& session, const QueueItem& item);
-  void pump(Lane& lane);
-  void expire();
+  void dispatch_waiting(Lane& lane);
+  void tick();
   void on_end(const ServiceName& service, const QueueItem& item, bool admitted,
-              const SessionResult& result, MonotonicTime began);
+              const SessionResult& result, MonotonicTime submitted_at);
 
   ServingContext& context_;
   TenantLimiter limiter_;
   std::map<ServiceName, Lane> lanes_;
   std::map<ServiceName, Demand> demand_;
-  std::size_t nodes_ = 1;
-  std::size_t open_ = 0;
+  std::size_t node_count_ = 1;
+  std::size_t open_requests_ = 0;
   std::uint64_t last_id_ = 0;
   Periodic ticker_;
 };
--- a/src/node/request_session.cpp
+++ b/src/node/request_session.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /// A caller's unread bytes beyond this pause the engine's stream.
-constexpr std::size_t kHighWater = 64UL << 10U;
+constexpr std::size_t kMaxPendingBytes = 64UL << 10U;
 
 /// Largest reply of a request that is not streamed, in bytes.
-constexpr std::size_t kMaxWholeAnswer = 8UL << 20U;
+constexpr std::size_t kMaxCollectedBytes = 8UL << 20U;
 
-constexpr Duration kRetryAfterFailure = std::chrono::seconds(1);
+constexpr Duration kFailureRetryAfter = std::chrono::seconds(1);
 
 bool is_success(int status) {
   return status >= 200 && status < 300;
@@ -31,20 +31,20 @@
       progress_(request_.id, request_.repeatable,
                 static_cast<std::uint32_t>(context.settings.max_attempts)) {}
 
-void RequestSession::watch_while_waiting(std::function<void()> on_gone) {
-  responder_->on_closed([weak = weak_from_this(), on_gone = std::move(on_gone)] {
+void RequestSession::on_disconnect_while_queued(std::function<void()> on_disconnect) {
+  responder_->on_closed([weak = weak_from_this(), on_disconnect = std::move(on_disconnect)] {
     const auto self = weak.lock();
     if (!self) return;
-    on_gone();
+    on_disconnect();
     self->end("caller_gone");
   });
 }
 
 void RequestSession::start() {
   started_ = true;
-  context_.retries.on_request();
+  context_.retry_budget.on_request();
   responder_->on_closed([weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->caller_gone();
+    if (const auto self = weak.lock()) self->on_caller_gone();
   });
   timer_ =
       context_.runtime.after(request_.deadline - context_.runtime.now(), [weak = weak_from_this()] {
@@ -77,7 +77,7 @@
       return end("refused");
     case ClaimVerdict::kUnavailable:
       respond_error({ErrorCode::kOverloaded, "the idempotency key cannot be checked now",
-                     RequestOutcome::kNotRun, kRetryAfterFailure});
+                     RequestOutcome::kNotRun, kFailureRetryAfter});
       return end("refused");
   }
 }
@@ -101,9 +101,9 @@
 
 bool RequestSession::choose_engines() {
   prefill_engine_.reset();
-  auto whole = choose(EngineRole::kMixed, request_.plain);
-  if (whole) {
-    answer_engine_ = *whole;
+  auto mixed = choose(EngineRole::kMixed, request_.plain);
+  if (mixed) {
+    answer_engine_ = *mixed;
     return true;
   }
   const auto prefill = choose(EngineRole::kPrefill, false);
@@ -115,13 +115,13 @@
 }
 
 void RequestSession::dispatch() {
-  if (!choose_engines()) return give_up(progress_.outcome_if_abandoned());
+  if (!choose_engines()) return abort_request(progress_.outcome_if_abandoned());
   progress_.begin_attempt();
   if (prefill_engine_) return send(*prefill_engine_, Step::kPrefill);
   send(answer_engine_, Step::kAnswer);
 }
 
-OutgoingRequest RequestSession::outgoing(const EngineId& engine, Step step) const {
+OutgoingRequest RequestSession::make_request(const EngineId& engine, Step step) const {
   OutgoingRequest outgoing;
   const Engine* declared = request_.snapshot->find_engine(engine);
   const std::string path = step == Step::kPrefill ? engine_api::kPrefillPath : request_.path;
@@ -131,13 +131,13 @@
   outgoing.headers.add(engine_api::kAttemptIdHeader, progress_.current_attempt().value());
   outgoing.headers.add(engine_api::kPriorityHeader, std::to_string(request_.priority));
   if (!request_.content_type.empty()) outgoing.headers.add("Content-Type", request_.content_type);
-  outgoing.body = request_.plain ? request_.raw_body : body_for(step);
-  outgoing.idle_timeout = context_.settings.engine_silence;
+  outgoing.body = request_.plain ? request_.raw_body : make_body(step);
+  outgoing.idle_timeout = context_.settings.engine_idle_timeout;
   outgoing.fresh_connection = !request_.repeatable;
   return outgoing;
 }
 
-std::string RequestSession::body_for(Step step) const {
+std::string RequestSession::make_body(Step step) const {
   nlohmann::json body = request_.body;
   if (request_.stream) body["stream_options"] = {{"include_usage", true}};
   if (step == Step::kPrefill) body["stream"] = false;
@@ -151,12 +151,12 @@
 
 void RequestSession::send(const EngineId& engine, Step step) {
   step_ = step;
-  engine_ = engine;
+  current_engine_ = engine;
   status_ = 0;
   collected_.clear();
-  overflow_ = false;
-  broken_ = false;
-  done_marker_ = false;
+  collected_overflow_ = false;
+  stream_invalid_ = false;
+  done_received_ = false;
   splitter_ = EventStreamSplitter();
   EngineEntry* entry = context_.engines.find(engine);
   if (entry != nullptr) {
@@ -172,24 +172,25 @@
   };
   handlers.on_data = [self](std::string_view piece) { return self->on_data(piece); };
   handlers.on_done = [self](const auto& result) { self->on_done(result); };
-  transfer_ = context_.http.start(outgoing(engine, step), std::move(handlers));
+  transfer_ = context_.http.start(make_request(engine, step), std::move(handlers));
 }
 
 void RequestSession::on_headers(int status, const HttpHeaders& headers) {
   status_ = status;
   headers_ = headers;
   const auto load = engine_api::load_from_header(std::string(headers.get(engine_api::kLoadHeader)));
-  if (load) context_.engines.on_report(context_.runtime.now(), *engine_, *load);
+  if (load) context_.engines.on_report(context_.runtime.now(), *current_engine_, *load);
 }
 
 bool RequestSession::on_data(std::string_view piece) {
   const bool relayed = request_.stream && step_ == Step::kAnswer && status_ == 200;
   if (!relayed) {
-    overflow_ = overflow_ || collected_.size() + piece.size() > kMaxWholeAnswer;
-    if (!overflow_) collected_ += piece;
+    collected_overflow_ =
+        collected_overflow_ || collected_.size() + piece.size() > kMaxCollectedBytes;
+    if (!collected_overflow_) collected_ += piece;
     return true;
   }
-  if (responder_->pending_bytes() > kHighWater) {
+  if (responder_->pending_bytes() > kMaxPendingBytes) {
     responder_->on_drained([weak = weak_from_this()] {
       const auto self = weak.lock();
       if (self && self->transfer_) self->context_.http.resume(*self->transfer_);
@@ -198,42 +199,42 @@
   }
   const bool usable =
       splitter_.feed(piece, [this](const ServerSentEvent& event) { on_event(event); });
-  broken_ = broken_ || !usable;
+  stream_invalid_ = stream_invalid_ || !usable;
   return true;
 }
 
 void RequestSession::on_event(const ServerSentEvent& event) {
-  if (broken_ || done_marker_) return;
+  if (stream_invalid_ || done_received_) return;
   const auto place = parse_chunk_place(event.id);
   if (event.data == kDoneMarker) {
     // The end counts only from the current attempt, and only when every token was delivered.
-    const bool own = place && place->attempt == progress_.current_attempt();
-    done_marker_ = own && place->index == progress_.delivered();
-    broken_ = !done_marker_;
+    const bool from_current_attempt = place && place->attempt == progress_.current_attempt();
+    done_received_ = from_current_attempt && place->index == progress_.delivered();
+    stream_invalid_ = !done_received_;
     return;
   }
-  if (place) return deliver(event, *place);
+  if (place) return deliver_chunk(event, *place);
   // The usage event has no place; it is passed on only to a caller who asked for it.
-  if (request_.wants_usage && stream_begun_) {
+  if (request_.wants_usage && stream_started_) {
     responder_->write("data: " + std::string(event.data) + "\n\n");
   }
 }
 
-void RequestSession::deliver(const ServerSentEvent& event, const ChunkPlace& place) {
+void RequestSession::deliver_chunk(const ServerSentEvent& event, const ChunkPlace& place) {
   switch (progress_.accept_chunk(place.attempt, place.index)) {
     case ChunkVerdict::kDrop:
       context_.metrics.count_dropped_chunk();
       return;
     case ChunkVerdict::kGap:
-      broken_ = true;
+      stream_invalid_ = true;
       return;
     case ChunkVerdict::kDeliver:
       break;
   }
-  if (!std::exchange(first_token_seen_, true)) {
-    const double seconds = to_seconds(context_.runtime.now() - request_.arrived);
+  if (!std::exchange(first_token_recorded_, true)) {
+    const double seconds = to_seconds(context_.runtime.now() - request_.arrived_at);
     context_.metrics.observe_first_token(request_.service.value(), seconds);
-    EngineEntry* entry = context_.engines.find(*engine_);
+    EngineEntry* entry = context_.engines.find(*current_engine_);
     if (entry != nullptr && !prefill_engine_) {
       entry->in_flight_prefill -= std::min(entry->in_flight_prefill, request_.prompt_tokens);
     }
@@ -247,7 +248,7 @@
 }
 
 void RequestSession::begin_stream() {
-  if (std::exchange(stream_begun_, true)) return;
+  if (std::exchange(stream_started_, true)) return;
   responder_->begin_stream(200, {{"Content-Type", "text/event-stream"},
                                  {"Cache-Control", "no-cache"},
                                  {engine_api::kRequestIdHeader, request_.id.value()}});
@@ -258,28 +259,29 @@
   transfer_.reset();
   release_engine();
   if (!result) {
-    const bool nothing = result.error().failure == TransferFailure::kNothingSent;
-    return attempt_failed(nothing ? AttemptFailure::kNothingSent : AttemptFailure::kUncertain);
+    const bool nothing_sent = result.error().failure == TransferFailure::kNothingSent;
+    return on_attempt_failed(nothing_sent ? AttemptFailure::kNothingSent
+                                          : AttemptFailure::kUncertain);
   }
-  const bool says_not_run = headers_.get(engine_api::kOutcomeHeader) == engine_api::kNotRun;
-  if (!is_success(status_) && says_not_run && status_ != 400) {
-    return attempt_failed(AttemptFailure::kRefused);
+  const bool marked_not_run = headers_.get(engine_api::kOutcomeHeader) == engine_api::kNotRun;
+  if (!is_success(status_) && marked_not_run && status_ != 400) {
+    return on_attempt_failed(AttemptFailure::kRefused);
   }
-  if (status_ == 400 && says_not_run) {
+  if (status_ == 400 && marked_not_run) {
     respond_error({ErrorCode::kInvalidRequest, "the engine refused the request",
                    RequestOutcome::kNotRun, std::nullopt});
     return end("refused");
   }
-  if (!request_.plain && !is_success(status_)) return attempt_failed(AttemptFailure::kUncertain);
+  if (!request_.plain && !is_success(status_)) return on_attempt_failed(AttemptFailure::kUncertain);
   if (step_ == Step::kPrefill) return on_prefill_done();
   if (request_.stream) return on_stream_end();
-  on_whole_answer();
+  on_complete_answer();
 }
 
 void RequestSession::on_prefill_done() {
   const auto reply = nlohmann::json::parse(collected_, nullptr, false);
   if (!reply.is_object() || !reply.contains("kv_handle")) {
-    return attempt_failed(AttemptFailure::kUncertain);
+    return on_attempt_failed(AttemptFailure::kUncertain);
   }
   context_.engines.on_success(*prefill_engine_);
   progress_.part_ran();
@@ -288,75 +290,76 @@
 }
 
 void RequestSession::on_stream_end() {
-  if (broken_ || !done_marker_) return attempt_failed(AttemptFailure::kUncertain);
+  if (stream_invalid_ || !done_received_) return on_attempt_failed(AttemptFailure::kUncertain);
   begin_stream();
   responder_->write("data: [DONE]\n\n");
   responder_->finish();
-  context_.engines.on_success(*engine_);
+  context_.engines.on_success(*current_engine_);
   context_.metrics.count_attempt(request_.service.value(), "ok");
   end("ok");
 }
 
-void RequestSession::on_whole_answer() {
-  const bool own =
+void RequestSession::on_complete_answer() {
+  const bool from_current_attempt =
       headers_.get(engine_api::kAttemptIdHeader) == progress_.current_attempt().value();
   // An answer that names another attempt is not this request's, whatever else it says.
-  if (!own || overflow_) return attempt_failed(AttemptFailure::kUncertain);
+  if (!from_current_attempt || collected_overflow_)
+    return on_attempt_failed(AttemptFailure::kUncertain);
   HttpReply reply;
   reply.status = status_;
   reply.headers.add("Content-Type", std::string(headers_.get("Content-Type")));
   reply.headers.add(engine_api::kRequestIdHeader, request_.id.value());
   reply.body = std::move(collected_);
   responder_->respond(std::move(reply));
-  context_.engines.on_success(*engine_);
+  context_.engines.on_success(*current_engine_);
   context_.metrics.count_attempt(request_.service.value(), "ok");
-  if (!std::exchange(first_token_seen_, true)) {
-    const double seconds = to_seconds(context_.runtime.now() - request_.arrived);
+  if (!std::exchange(first_token_recorded_, true)) {
+    const double seconds = to_seconds(context_.runtime.now() - request_.arrived_at);
     context_.metrics.observe_first_token(request_.service.value(), seconds);
   }
   end("ok");
 }
 
-void RequestSession::attempt_failed(AttemptFailure failure) {
+void RequestSession::on_attempt_failed(AttemptFailure failure) {
   const bool refused = failure == AttemptFailure::kRefused;
   context_.metrics.count_attempt(request_.service.value(), refused ? "refused" : "failed");
-  context_.engines.on_failure(context_.runtime.now(), *engine_);
-  failed_engines_.push_back(*engine_);
-  const bool may_retry = context_.retries.try_withdraw();
-  if (may_retry && failure != AttemptFailure::kUncertain && decode_elsewhere()) return;
+  context_.engines.on_failure(context_.runtime.now(), *current_engine_);
+  failed_engines_.push_back(*current_engine_);
+  const bool may_retry = context_.retry_budget.try_withdraw();
+  if (may_retry && failure != AttemptFailure::kUncertain && retry_decode()) return;
   const FailureDecision decision = progress_.attempt_failed(failure, may_retry);
   log_event(LogArea::kCallers, LogLevel::kInfo, "attempt_failed",
             {{"request", request_.id.value()},
-             {"engine", engine_->value()},
+             {"engine", current_engine_->value()},
              {"refused", refused},
              {"retry", std::holds_alternative<TryElsewhere>(decision)}});
   if (std::holds_alternative<TryElsewhere>(decision)) return dispatch();
-  give_up(std::get<GiveUp>(decision).outcome);
+  abort_request(std::get<GiveUp>(decision).outcome);
 }
 
-bool RequestSession::decode_elsewhere() {
+bool RequestSession::retry_decode() {
   // The prefill ran and its KV cache still waits: another engine can decode from it, which is the
   // same run going on and not a second one.
   if (step_ != Step::kAnswer || !prefill_engine_) return false;
   if (failed_engines_.size() >= context_.settings.max_attempts) return false;
   const auto decode = choose(EngineRole::kDecode, false);
-  if (!decode || *decode == *engine_) return false;
+  if (!decode || *decode == *current_engine_) return false;
   answer_engine_ = *decode;
   send(answer_engine_, Step::kAnswer);
   return true;
 }
 
-void RequestSession::give_up(RequestOutcome outcome) {
+void RequestSession::abort_request(RequestOutcome outcome) {
   const bool not_run = outcome == RequestOutcome::kNotRun;
   respond_error({not_run ? ErrorCode::kNoEngine : ErrorCode::kEngineFailed,
                  not_run ? "no engine could take the request" : "the engine failed", outcome,
-                 kRetryAfterFailure});
+                 kFailureRetryAfter});
   if (not_run && request_.claim) context_.claims.release(*request_.claim, request_.id);
   end(to_text(outcome));
 }
 
 void RequestSession::respond_error(const CallerError& error) {
-  if (stream_begun_) {
+  if (stream_started_) {
     responder_->write("data: " + to_event_data(error) + "\n\n");
     return responder_->finish();
   }
@@ -366,11 +369,11 @@
 }
 
 void RequestSession::release_engine() {
-  EngineEntry* entry = engine_ ? context_.engines.find(*engine_) : nullptr;
+  EngineEntry* entry = current_engine_ ? context_.engines.find(*current_engine_) : nullptr;
   if (entry == nullptr) return;
   if (entry->in_flight > 0) --entry->in_flight;
   const bool prefills = step_ == Step::kPrefill || !prefill_engine_;
-  if (prefills && !first_token_seen_) {
+  if (prefills && !first_token_recorded_) {
     entry->in_flight_prefill -= std::min(entry->in_flight_prefill, request_.prompt_tokens);
   }
 }
@@ -384,7 +387,7 @@
   end(to_text(outcome));
 }
 
-void RequestSession::caller_gone() {
+void RequestSession::on_caller_gone() {
   if (ended_) return;
   abandon_transfer();
   end("caller_gone");
@@ -399,8 +402,8 @@
   if (request_.plain) return;
   OutgoingRequest cancel;
   cancel.method = "POST";
-  cancel.url =
-      "http://" + request_.snapshot->find_engine(*engine_)->address + engine_api::kCancelPath;
+  cancel.url = "http://" + request_.snapshot->find_engine(*current_engine_)->address +
+               engine_api::kCancelPath;
   cancel.body = nlohmann::json{{"attempt", progress_.current_attempt().value()}}.dump();
   cancel.total_timeout = std::chrono::seconds(2);
   context_.http.fetch(std::move(cancel), [](const auto&) {});
--- a/src/node/request_session.hpp
+++ b/src/node/request_session.hpp
@@ -33,7 +33,7 @@
   HttpClient& http;
   EngineTable& engines;
   Router& router;
-  RetryBudget& retries;
+  RetryBudget& retry_budget;
   Metrics& metrics;
   ClaimService& claims;
 };
@@ -58,7 +58,7 @@
   std::uint32_t max_output_tokens = 1;
   std::vector<std::uint64_t> prefix;
   std::int32_t priority = 0;
-  MonotonicTime arrived{};
+  MonotonicTime arrived_at{};
   MonotonicTime deadline{};
 };
 
@@ -81,7 +81,7 @@
   void start();
 
   /// Sets what is called when the caller goes away before `start`.
-  void watch_while_waiting(std::function<void()> on_gone);
+  void on_disconnect_while_queued(std::function<void()> on_disconnect);
 
   /// Answers with an error before anything was dispatched.
   void refuse(const CallerError& error);
@@ -97,22 +97,22 @@
   bool choose_engines();
   std::optional<EngineId> choose(EngineRole role, bool any_role);
   void send(const EngineId& engine, Step step);
-  OutgoingRequest outgoing(const EngineId& engine, Step step) const;
-  std::string body_for(Step step) const;
+  OutgoingRequest make_request(const EngineId& engine, Step step) const;
+  std::string make_body(Step step) const;
   void on_headers(int status, const HttpHeaders& headers);
   bool on_data(std::string_view piece);
   void on_event(const ServerSentEvent& event);
-  void deliver(const ServerSentEvent& event, const ChunkPlace& place);
+  void deliver_chunk(const ServerSentEvent& event, const ChunkPlace& place);
   void on_done(const tl::expected<void, TransferError>& result);
   void on_prefill_done();
-  void on_whole_answer();
+  void on_complete_answer();
   void on_stream_end();
-  void attempt_failed(AttemptFailure failure);
-  bool decode_elsewhere();
+  void on_attempt_failed(AttemptFailure failure);
+  bool retry_decode();
   void release_engine();
-  void give_up(RequestOutcome outcome);
+  void abort_request(RequestOutcome outcome);
   void on_deadline();
-  void caller_gone();
+  void on_caller_gone();
   void abandon_transfer();
   double tokens_used() const;
   void end(const std::string& result);
@@ -127,7 +127,7 @@
   std::unique_ptr<Timer> timer_;
   std::optional<EngineId> prefill_engine_;
   EngineId answer_engine_;
-  std::optional<EngineId> engine_;  ///< That the transfer under way goes to.
+  std::optional<EngineId> current_engine_;  ///< That the transfer under way goes to.
   Step step_ = Step::kAnswer;
   std::string kv_handle_;
   std::vector<EngineId> failed_engines_;  ///< Avoided while another is eligible.
@@ -136,11 +136,11 @@
   int status_ = 0;
   HttpHeaders headers_;
   std::string collected_;  ///< Body of a reply that is not relayed piece by piece.
-  bool overflow_ = false;
-  bool broken_ = false;  ///< A chunk was lost or an event was too large.
-  bool done_marker_ = false;
-  bool stream_begun_ = false;
-  bool first_token_seen_ = false;
+  bool collected_overflow_ = false;
+  bool stream_invalid_ = false;  ///< A chunk was lost or an event was too large.
+  bool done_received_ = false;
+  bool stream_started_ = false;
+  bool first_token_recorded_ = false;
   bool started_ = false;
   bool ended_ = false;
 };
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -33,30 +33,30 @@
                     "Most connections of callers at once.");
   options.add_whole("max-json-depth", settings.max_json_depth, 4, 512,
                     "Deepest nesting of a caller's JSON.");
-  options.add_duration("request-deadline", settings.request_deadline, seconds(1), hours(1),
+  options.add_duration("request-deadline", settings.request_timeout, seconds(1), hours(1),
                        "Longest time for a request, from its arrival.");
-  options.add_duration("queue-deadline", settings.queue_deadline, milliseconds(10), minutes(10),
+  options.add_duration("queue-deadline", settings.queue_timeout, milliseconds(10), minutes(10),
                        "Longest wait for an engine before a request is refused.");
-  options.add_duration("engine-silence", settings.engine_silence, seconds(1), hours(1),
+  options.add_duration("engine-silence", settings.engine_idle_timeout, seconds(1), hours(1),
                        "Longest silence of an engine before its attempt counts as failed.");
-  options.add_duration("caller-idle", settings.caller_idle, seconds(1), hours(1),
+  options.add_duration("caller-idle", settings.caller_idle_timeout, seconds(1), hours(1),
                        "Longest wait for a whole request on an open connection.");
-  options.add_duration("slow-reader", settings.slow_reader, seconds(1), hours(1),
+  options.add_duration("slow-reader", settings.caller_write_timeout, seconds(1), hours(1),
                        "Longest time that a caller may take nothing of its reply.");
 }
 
 void add_behaviour(OptionSet& options, NodeSettings& settings) {
   options.add_whole("max-attempts", settings.max_attempts, 1, 10,
                     "Most dispatches of one request.");
-  options.add_number("retry-share", settings.retry_share, 0, 1,
+  options.add_number("retry-share", settings.retry_budget_ratio, 0, 1,
                      "Retries allowed, as a share of requests.");
-  options.add_whole("engine-window", settings.engine_window, 1, kMaxCount,
+  options.add_whole("engine-window", settings.max_in_flight_per_engine, 1, kMaxCount,
                     "Requests in flight to one engine, all nodes together.");
-  options.add_whole("max-queue", settings.max_queue, 0, kMaxCount,
+  options.add_whole("max-queue", settings.max_queue_length, 0, kMaxCount,
                     "Most requests that wait for an engine on this node, for each service.");
   options.add_duration("leave-grace", settings.leave_grace, Duration(0), minutes(10),
                        "After a signal to stop: time to go on taking requests while others learn.");
-  options.add_duration("lease-length", settings.lease_length, seconds(1), minutes(5),
+  options.add_duration("lease-length", settings.lease_duration, seconds(1), minutes(5),
                        "Length of a controller lease.");
   options.add_duration("claim-retention", settings.claim_retention, seconds(10), hours(24),
                        "How long an idempotency key is remembered.");
--- a/src/node/settings.hpp
+++ b/src/node/settings.hpp
@@ -23,17 +23,18 @@
   std::uint64_t max_body = 4UL << 20U;  ///< Bytes of a caller's request body.
   std::uint64_t max_connections = 4096;
   std::uint64_t max_json_depth = 64;
-  Duration request_deadline = std::chrono::minutes(5);
-  Duration queue_deadline = std::chrono::seconds(10);
-  Duration engine_silence = std::chrono::seconds(30);  ///< Longest silence of an engine.
-  Duration caller_idle = std::chrono::seconds(60);
-  Duration slow_reader = std::chrono::seconds(30);
+  Duration request_timeout = std::chrono::minutes(5);
+  Duration queue_timeout = std::chrono::seconds(10);
+  Duration engine_idle_timeout = std::chrono::seconds(30);  ///< Longest silence of an engine.
+  Duration caller_idle_timeout = std::chrono::seconds(60);
+  Duration caller_write_timeout = std::chrono::seconds(30);
   std::uint64_t max_attempts = 3;
-  double retry_share = 0.1;
-  std::uint64_t engine_window = 64;  ///< Requests in flight to an engine, all nodes together.
-  std::uint64_t max_queue = 2048;
+  double retry_budget_ratio = 0.1;
+  std::uint64_t max_in_flight_per_engine =
+      64;  ///< Requests in flight to an engine, all nodes together.
+  std::uint64_t max_queue_length = 2048;
   Duration leave_grace = std::chrono::seconds(3);
-  Duration lease_length = std::chrono::seconds(10);
+  Duration lease_duration = std::chrono::seconds(10);
   Duration claim_retention =
       std::chrono::minutes(10);  ///< An idempotency key is remembered so long.
   std::uint64_t seed = 0;        ///< Zero: from the system's generator.
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -101,10 +101,10 @@
   node->settings.region = numbered("r", index % settings.zones % settings.regions);
   node->settings.platform = kPlatformAddress;
   node->settings.seed = settings.seed * 1000 + static_cast<std::uint64_t>(index) + 1;
-  node->settings.lease_length = std::chrono::seconds(4);
+  node->settings.lease_duration = std::chrono::seconds(4);
   node->settings.leave_grace = std::chrono::seconds(2);
-  node->settings.engine_silence = std::chrono::seconds(10);
-  node->settings.request_deadline = std::chrono::seconds(40);
+  node->settings.engine_idle_timeout = std::chrono::seconds(10);
+  node->settings.request_timeout = std::chrono::seconds(40);
   node->settings.claim_retention = kClaimRetention;
   node->process = world.start(node_address(index));
   node->http = std::make_unique<SimulatedHttpClient>(node->process);
