--- a/src/node/caller_api.cpp
+++ b/src/node/caller_api.cpp
@@ -19,7 +19,7 @@
   return {ErrorCode::kInvalidRequest, message, RequestOutcome::kNotRun, std::nullopt};
 }
 
-/// Parses JSON of bounded depth. @return the value, or what is wrong. Text must be valid UTF-8.
+/// Parses JSON of bounded depth in UTF-8. @return the value, or an error message.
 tl::expected<json, std::string> parse_bounded(const std::string& text, std::uint64_t max_depth) {
   bool too_deep = false;
   const auto depth_limit = [&too_deep, max_depth](int depth, json::parse_event_t, json&) {
@@ -31,16 +31,14 @@
     if (too_deep) return tl::make_unexpected(std::string("the JSON is nested too deeply"));
     return value;
   } catch (const json::exception&) {
-    // The library's message quotes the input, which may be prompt text; it is not passed on.
+    // The library's message is dropped: it quotes the input, which may be prompt text.
     return tl::make_unexpected(std::string("the body is not valid JSON in UTF-8"));
   }
 }
 
-/// Longest idempotency key, in bytes.
 constexpr std::size_t kMaxIdempotencyKeyBytes = 255;
 
-/// Fields that two readers could read differently are refused, not guessed.
-/// @return what is wrong with them, or empty text.
+/// Rejects ambiguous header fields. @return an error message, or an empty string.
 std::string check_header_fields(const HttpHeaders& headers) {
   if (headers.count("Authorization") > 1) return "more than one Authorization field";
   const std::size_t keys = headers.count("Idempotency-Key");
@@ -52,7 +50,7 @@
   return "";
 }
 
-/// @return whether the caller marked the request as not repeatable, or what is wrong with the mark.
+/// @return whether the request may be run more than once, or an error message.
 tl::expected<bool, std::string> is_repeatable(const HttpRequest& request) {
   const std::string_view mark = request.headers.get("X-Shuntbank-Repeatable");
   if (!mark.empty() && mark != "true" && mark != "false") {
--- a/src/node/caller_api.hpp
+++ b/src/node/caller_api.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The callers' interface: the OpenAI-compatible paths and the plain services. It authenticates,
-/// checks and hands requests to the queue. docs/API.md describes it.
+/// HTTP API for callers: OpenAI-compatible endpoints and plain services. Authenticates and
+/// validates requests, then submits them to the queue. See docs/API.md.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace shuntbank {
 
-/// Serves callers.
+/// Routes, authenticates and validates the requests of callers.
 class CallerApi {
  public:
   CallerApi(Runtime& runtime, const NodeSettings& settings, const ConfigService& config,
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -11,19 +11,19 @@
 
 constexpr std::size_t kMaxClaims = 200'000;
 
-/// The coordinator and those who stand behind it.
+/// The coordinator and its standbys.
 constexpr std::size_t kCandidates = 3;
 
-/// A node that does not coordinate looks for a new composition so often, besides when it needs one.
+/// How often a node that is not the coordinator refreshes a stable group record.
 constexpr Duration kPullInterval = std::chrono::seconds(30);
 
-/// A member that may still know the lost claims is waited for so many ticks.
+/// How long a takeover waits for members that may hold the missing claims.
 constexpr int kHistoryLossTicks = 20;
 
-/// A coordinator of a view that does not become stable looks at the store again so often.
+/// How often a coordinator rereads the store while its view is unstable.
 constexpr int kRereadTicks = 10;
 
-/// A change of the group must be wanted for so many ticks, so that it does not follow every blip.
+/// Consecutive ticks a group change must be due before it is made, to ignore brief failures.
 constexpr int kGroupChangeTicks = 3;
 
 std::string record_key(const RegionName& region) {
@@ -32,13 +32,12 @@
 
 }  // namespace
 
-/// One claim on its way.
+/// A claim in progress.
 struct ClaimService::Attempt {
   ClaimKey key;
   RequestId claimant;
-  ClaimHandler handler;  ///< Empty once it was called.
-  std::shared_ptr<ClaimVote>
-      vote;  ///< Of the present round; late answers of one before are dropped.
+  ClaimHandler handler;             ///< Empty once called.
+  std::shared_ptr<ClaimVote> vote;  ///< Current round; answers to earlier rounds are dropped.
   bool refreshed = false;
 
   void finish(ClaimVerdict verdict) {
@@ -114,7 +113,7 @@
     case ClaimVote::Decision::kUnavailable:
       break;
   }
-  // The group may have moved on: learn its present composition once, then give up.
+  // The group may have changed: refresh the record and retry once.
   if (!std::exchange(attempt->refreshed, true)) return refresh_and_retry(attempt);
   release(attempt->key, attempt->claimant);
   attempt->finish(ClaimVerdict::kUnavailable);
@@ -132,7 +131,7 @@
   if (sources.empty()) return then();
   const ClaimMember member{sources.front().node, sources.front().address};
   sources.erase(sources.begin());
-  // The coordinator is asked first; those who stand behind it have what it said before.
+  // Tries the coordinator first, then its standbys, whose record may be older.
   call_member(member, ClaimGroupPull{},
               [this, sources = std::move(sources),
                then = std::move(then)](const std::optional<Message>& reply) {
@@ -200,10 +199,10 @@
 void ClaimService::tick() {
   if (!is_coordinator()) return refresh_record();
   if (store_call_pending_) return;
-  // A coordinator starts from what is stored, since another may have changed it before.
+  // Another coordinator may have changed the stored record.
   if (!record_loaded_) return read_record();
   if (!record_.stable && record_.view > 0) {
-    // Another coordinator may have gone on from here without this one hearing of it.
+    // Another coordinator may have written a newer view.
     if (++unstable_ticks_ % kRereadTicks == 0) return read_record();
     return run_takeover();
   }
@@ -233,7 +232,7 @@
   platform_.write(
       record_key(region_), record_version_, to_json(next), [this, next](const auto& result) {
         store_call_pending_ = false;
-        // Not answered, or somebody else was faster: go on from what is stored.
+        // On no answer or a lost write race, reload the stored record.
         record_loaded_ = result && result->applied;
         if (!record_loaded_) return;
         record_ = next;
@@ -287,7 +286,7 @@
     stable.stable = true;
     return write_record(stable);
   }
-  // A member that restarted meanwhile cannot install this view: name the members anew.
+  // A restarted member cannot install this view, so the group must change.
   std::set<NodeId> members;
   for (const ClaimMember& member : record_.members) members.insert(member.node);
   if (try_change_group(members)) return;
--- a/src/node/claim_service.hpp
+++ b/src/node/claim_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Claims of this node: asks the group's replicas before a request that may run only once, serves
-/// as a replica, and coordinates the group when that duty falls to this node.
+/// Idempotency claims: claims a key at the group's replicas before a run-once request is
+/// dispatched, serves as a replica, and coordinates the group when this node holds that duty.
 #pragma once
 
 #include <functional>
@@ -15,25 +15,25 @@
 
 namespace shuntbank {
 
-/// All of a node's part in claims. Keys are remembered for a retention time.
+/// Claim client, replica and group coordinator of a node. Keys are kept for a retention time.
 class ClaimService {
  public:
   ClaimService(Runtime& runtime, ObjectClient& platform, ClusterService& cluster, RegionName region,
                Duration retention);
 
   /// Claims a key for a request.
-  /// @param handler gets `kGranted` once a majority holds it; `kHeld` when another request has it;
-  /// `kUnavailable` when no majority answered in time, so that nothing may be dispatched.
+  /// @param handler gets `kGranted` once a majority granted it; `kHeld` if another request has it;
+  /// `kUnavailable` if no majority answered in time, in which case nothing may be dispatched.
   using ClaimHandler = std::function<void(ClaimVerdict)>;
   void claim(const ClaimKey& key, const RequestId& claimant, ClaimHandler handler);
 
-  /// Gives a claim back: its request surely did not run.
+  /// Releases a claim. @pre the request is known not to have run.
   void release(const ClaimKey& key, const RequestId& claimant);
 
-  /// Answers a message about claims; nothing when it is none.
+  /// Handles a claim message. @return the reply, if any.
   std::optional<Message> handle_message(const Message& message);
 
-  /// Stops coordinating: this node is leaving. It goes on as a replica to its end.
+  /// Stops coordinating because this node is leaving. It still serves as a replica.
   void resign() { resigned_ = true; }
 
   const ClaimGroupRecord& record() const { return record_; }
--- a/src/node/cluster_service.cpp
+++ b/src/node/cluster_service.cpp
@@ -13,10 +13,10 @@
 constexpr std::size_t kEngineFactsPerMessage = 3;
 constexpr std::size_t kAnnounceFanout = 4;
 
-/// Facts are pulled whole at most so often; between pulls they come piece by piece.
+/// Minimum time between full pulls of the facts; heartbeats carry them incrementally in between.
 constexpr Duration kFactsPullInterval = std::chrono::seconds(10);
 
-/// Heartbeats sent at once when this node leaves, so that it is known within a round trip.
+/// Heartbeats sent at once when this node leaves, so that peers learn of it in one round trip.
 constexpr std::size_t kLeaveFanout = 8;
 
 MemberFact with_address(MemberFact self, const std::string& address) {
--- a/src/node/cluster_service.hpp
+++ b/src/node/cluster_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// This node's part in the cluster: heartbeats, facts of members and engines, and messages to
+/// Cluster membership of this node: heartbeats, gossip of member and engine facts, and messages to
 /// peers.
 #pragma once
 
@@ -16,55 +16,55 @@
 
 namespace shuntbank {
 
-/// Drives the membership and carries messages between nodes.
+/// Runs the membership protocol and exchanges messages with other nodes.
 class ClusterService {
  public:
-  /// What other parts of the node contribute and learn.
+  /// Data sources and message handlers that the node provides.
   struct Hooks {
-    std::function<Revision()> revision;  ///< Held configuration.
+    std::function<Revision()> revision;  ///< Revision of the configuration held here.
     std::function<void(const MemberFact& peer, Revision revision)> on_peer_revision;
     std::function<void(const std::vector<EngineFact>&)> on_engine_facts;
     std::function<void(const DemandReport&)> on_demand;
     std::function<Message(const ConfigPull&)> on_config_pull;
-    /// Answers a message about claims; nothing when it is none.
+    /// Handles a claim message; returns the reply, if any.
     std::function<std::optional<Message>(const Message&)> on_claim_message;
   };
 
-  /// @param self without its address, which the transport knows.
+  /// @param self this member; its address is filled in from the transport.
   ClusterService(Runtime& runtime, PeerTransport& transport, MemberFact self, std::uint64_t seed,
                  Hooks hooks);
 
-  /// @return members that may be given work or duties.
+  /// @return members that can be assigned work or duties.
   const std::vector<MemberFact>& usable() const { return membership_.usable(); }
 
-  /// @return usable members of this node's region, best first for a duty, at most `count`. Ranks
-  /// are kept until the members change.
+  /// @return up to `count` usable members of this region, ranked for a duty, best first. Rankings
+  /// are cached until the members change.
   std::vector<MemberFact> candidates(const std::string& duty, std::size_t count) const;
   std::vector<MemberFact> members() const { return membership_.all(); }
   const MemberFact& self() const { return membership_.self(); }
 
-  /// @return the configuration revision that a member was last heard to hold; zero: not heard yet.
+  /// @return the last configuration revision reported by a member; zero if none yet.
   Revision revision_of(const NodeId& node) const;
 
-  /// Addresses from the platform's machine list.
+  /// Sets candidate peer addresses from the platform's machine list.
   void set_address_hints(const std::vector<std::string>& addresses) { membership_.hint(addresses); }
 
-  /// Tells everybody that this node is leaving.
+  /// Marks this node as leaving and notifies some peers at once.
   void leave();
 
-  /// Spreads what a controller on this node knows of engines.
+  /// Spreads engine facts from a controller on this node.
   void publish_engine_facts(const std::vector<EngineFact>& facts);
 
   /// @return the newest facts of all engines.
   std::vector<EngineFact> engine_facts() const { return engine_facts_.all(); }
 
-  /// Tells a few random members of a new revision at once.
+  /// Notifies a few random members of a new revision at once.
   void announce_revision(Revision revision);
 
   /// Sends a datagram to a member's address.
   void send(const std::string& address, const Message& message);
 
-  /// Sends a framed message and hands back the answer.
+  /// Sends a framed message. @param handler called with the answer or an error message.
   using AnswerHandler = std::function<void(tl::expected<Message, std::string>)>;
   void call(const std::string& address, const Message& message, AnswerHandler handler);
 
@@ -92,7 +92,7 @@
     std::size_t count = 0;
     std::vector<MemberFact> members;
   };
-  mutable std::map<std::string, Ranking> rankings_;  ///< By duty.
+  mutable std::map<std::string, Ranking> rankings_;  ///< Cache, by duty.
   std::mt19937_64 random_;
   MonotonicTime next_facts_pull_{};
   bool facts_pull_pending_ = false;
--- a/src/node/config_service.cpp
+++ b/src/node/config_service.cpp
@@ -10,10 +10,10 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(200);
 
-/// Nodes of a region that read the platform; the others learn from them.
+/// Nodes per region that read the platform; the others pull from peers.
 constexpr std::size_t kReadersPerRegion = 2;
 
-/// An operator waits this long for the fate of a write that got no answer.
+/// How long to check whether an unanswered write was stored.
 constexpr Duration kWriteConfirmTimeout = std::chrono::seconds(8);
 constexpr Duration kWriteConfirmInterval = std::chrono::milliseconds(300);
 
@@ -24,12 +24,12 @@
 
 }  // namespace
 
-/// An operator's change on its way.
+/// A change in progress.
 struct ConfigService::Change {
   std::vector<ObjectEdit> edits;
   ChangeHandler handler;
   std::string write_id;
-  std::optional<ConfigDocument> written;  ///< Set once a write was sent.
+  std::optional<ConfigDocument> written;  ///< Document of the last write.
   MonotonicTime confirm_deadline{};
 };
 
@@ -51,7 +51,7 @@
 
 void ConfigService::tick() {
   if (read_pending_ || runtime_.now() < next_read_) return;
-  // A starting node reads once by itself: a revision learnt only from a peer could be old.
+  // A starting node reads the platform once, as a peer's revision may be stale.
   if (!ready()) return read_platform();
   if (is_reader()) watch_platform();
 }
@@ -72,7 +72,7 @@
   read_pending_ = false;
   platform_reachable_ = result.has_value();
   if (!result) {
-    // Doubled and jittered, so that a store that comes back is not run over.
+    // Exponential backoff with jitter, to spare a recovering store.
     const auto backoff =
         kInitialBackoff * (1 << std::min(consecutive_failures_, kMaxBackoffDoublings));
     next_read_ = runtime_.now() + backoff / 2 + Duration(random_() % backoff.count());
@@ -81,8 +81,7 @@
   }
   consecutive_failures_ = 0;
   if (!result->has_value()) {
-    // Nothing was ever declared, so the empty configuration is the confirmed one; or a watch
-    // brought no news.
+    // Nothing is stored, so the empty configuration is valid; or a watch ended without changes.
     if (!ready()) on_offer_result(replica_.offer(ConfigDocument{}));
     next_read_ = runtime_.now() + kInitialBackoff;
     return;
@@ -114,7 +113,7 @@
 }
 
 void ConfigService::on_peer_revision(const MemberFact& peer, Revision revision) {
-  // While the platform does not answer, a starting node takes a peer's word: revisions only grow.
+  // While the platform is unreachable, a starting node accepts a peer's revision.
   const bool may_pull = ready() || consecutive_failures_ > 0;
   if (may_pull && revision > replica_.revision()) pull_from(peer.address);
 }
@@ -176,8 +175,7 @@
   platform_.write(kConfigKey, version, to_json(*next), [this, change](const auto& result) {
     if (!result) return confirm_write(change);
     if (result->applied) return complete_change(change, *change->written);
-    read_for_change(
-        change);  // Somebody else was faster: judge the edits against what is stored now.
+    read_for_change(change);  // Lost a write race: retry on the current document.
   });
 }
 
@@ -188,8 +186,7 @@
       if (document && document->contains_write(change->write_id))
         return complete_change(change, *document);
     }
-    // Not there (yet): the write may still be on its way, so it must not be sent again blindly, and
-    // it cannot be called refused either.
+    // The write may still be in flight, so it can neither be resent nor reported as failed.
     if (runtime_.now() >= change->confirm_deadline) {
       return change->handler(tl::make_unexpected(ChangeFailure{ChangeFailure::Kind::kUnknown, {}}));
     }
--- a/src/node/config_service.hpp
+++ b/src/node/config_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// This node's configuration: read from the platform by a few readers, pulled from peers by the
-/// rest, changed by operators through any node.
+/// Configuration of this node. A few readers watch the platform's store, the other nodes pull from
+/// peers, and operators make changes through any node.
 #pragma once
 
 #include <functional>
@@ -15,27 +15,27 @@
 
 namespace shuntbank {
 
-/// Why a change was not accepted.
+/// Why a change failed.
 struct ChangeFailure {
   enum class Kind {
     kRefused,      ///< Conflicts or findings: nothing was changed.
     kUnavailable,  ///< The platform did not answer a read: nothing was changed.
-    kUnknown,      ///< A write was not answered and could not be settled in time.
+    kUnknown,      ///< A write was not answered and could not be confirmed in time.
   };
   Kind kind = Kind::kUnavailable;
   EditRefusal refusal;
 };
 
-/// Keeps the configuration current.
+/// Replicates the configuration and applies operators' changes.
 class ConfigService {
  public:
   using AdoptedHandler = std::function<void(const SnapshotPointer&)>;
 
-  /// @param on_adopted called after each new revision is in force.
+  /// @param on_adopted called after each new revision becomes active.
   ConfigService(Runtime& runtime, ObjectClient& platform, std::uint64_t seed,
                 AdoptedHandler on_adopted);
 
-  /// Names the cluster service, which is built after this one.
+  /// Sets the cluster service, which is constructed after this one. @pre called before `start`.
   void set_cluster(ClusterService& cluster) { cluster_ = &cluster; }
 
   /// Starts reading.
@@ -43,21 +43,21 @@
 
   const ConfigReplica& replica() const { return replica_; }
 
-  /// @return whether a revision was confirmed since the start.
+  /// @return whether a revision was adopted since the start.
   bool ready() const { return replica_.snapshot() != nullptr; }
 
   /// @return whether the last call to the platform was answered.
   bool platform_reachable() const { return platform_reachable_; }
 
-  /// Applies an operator's edits: all or none.
-  /// @param handler called with the new revision once the platform holds it, or the failure.
+  /// Applies an operator's edits atomically.
+  /// @param handler called with the new revision once stored, or with the failure.
   using ChangeHandler = std::function<void(tl::expected<Revision, ChangeFailure>)>;
   void change(std::vector<ObjectEdit> edits, ChangeHandler handler);
 
-  /// A peer holds this revision.
+  /// Pulls from the peer if its revision is newer.
   void on_peer_revision(const MemberFact& peer, Revision revision);
 
-  /// A peer asks for changes.
+  /// @return the changes since the revision that a peer holds.
   Message on_pull(const ConfigPull& pull) const;
 
  private:
--- a/src/node/control_service.cpp
+++ b/src/node/control_service.cpp
@@ -13,7 +13,7 @@
 constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 constexpr Duration kPlanInterval = std::chrono::seconds(1);
 
-/// Nodes that stand by for each lease, the preferred holder included.
+/// Candidates for each lease, the preferred holder included.
 constexpr std::size_t kLeaseCandidates = 2;
 
 constexpr std::size_t kWriteIdBytes = 8;
@@ -93,7 +93,7 @@
   const MonotonicTime now = runtime_.now();
   const int rank = rank_of_self(service);
   const bool has_authority = duty.lease.authority(now).has_value();
-  // A standby looks less often, so that the preferred holder goes first and the store is spared.
+  // Standbys poll less often, to let the preferred holder go first and limit the store's load.
   if (rank > 0 && !has_authority) {
     if (now < duty.next_standby_poll) return;
     duty.next_standby_poll = now + lease_settings_.length / 2;
@@ -172,7 +172,7 @@
   const EngineId engine = std::visit([](const auto& value) { return value.engine; }, command);
   const Engine* declared = snapshot_->find_engine(engine);
   const Duty& duty = duties_.at(service);
-  // Asked again right before the command leaves: time may have passed since the tick began.
+  // Checked again before sending, as the lease may have expired since the tick began.
   const auto fence = duty.lease.authority(runtime_.now());
   if (declared == nullptr || !fence) return;
   const auto handler = [this, service, fence = *fence, engine](const auto& answer) {
--- a/src/node/control_service.hpp
+++ b/src/node/control_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Control duty of this node: leases of services, orders to their engines, plans of their roles.
+/// Control duties of this node: service leases, engine orders and role plans.
 #pragma once
 
 #include <map>
@@ -20,29 +20,29 @@
 
 namespace shuntbank {
 
-/// Runs the duties that fall to this node.
+/// Holds service leases and controls the engines of the services it holds.
 class ControlService {
  public:
   ControlService(Runtime& runtime, ObjectClient& platform, EngineClient& engines,
                  ClusterService& cluster, RegionName region, Duration lease_duration);
 
-  /// A new configuration is in force.
+  /// Applies a new configuration.
   void configure(const SnapshotPointer& snapshot);
 
-  /// A node tells what its callers asked for.
+  /// Records the demand that a node reports.
   void on_demand(const DemandReport& report);
 
-  /// @return the member that demand of a service is sent to.
+  /// @return the member that receives demand reports of a service.
   std::optional<MemberFact> controller_of(const ServiceName& service) const;
 
-  /// Stops all duties: this node is leaving.
+  /// Gives up all leases because this node is leaving.
   void resign();
 
-  /// One duty in `status`.
+  /// Status of one duty, for the operator API.
   struct DutyStatus {
     ServiceName service;
-    NodeId holder;               ///< As last seen in the store; empty when nobody was.
-    std::optional<Fence> fence;  ///< Set while this node may act.
+    NodeId holder;               ///< As last read from the store; empty if none.
+    std::optional<Fence> fence;  ///< Set while this node holds the lease.
     std::string plan;
     std::uint64_t role_changes = 0;
     std::uint64_t drain_timeouts = 0;
@@ -60,8 +60,8 @@
     std::string plan = "none";
     MonotonicTime next_plan{};
     MonotonicTime next_standby_poll{};
-    ControlCounters counters;               ///< Of the controller before, under the same lease.
-    std::uint64_t role_changes_before = 0;  ///< Of controllers under earlier fences.
+    ControlCounters counters;               ///< Carried over from the previous controller.
+    std::uint64_t role_changes_before = 0;  ///< Made by previous controllers.
   };
 
   void tick();
--- a/src/node/error_reply.hpp
+++ b/src/node/error_reply.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Errors towards callers: one JSON shape for all of them. docs/API.md lists the codes.
+/// Error replies to callers, all in one JSON format. docs/API.md lists the codes.
 #pragma once
 
 #include <optional>
@@ -11,34 +11,34 @@
 
 namespace shuntbank {
 
-/// Errors that callers see. Clients treat a used-up limit and an overload differently.
+/// Errors that are reported to callers.
 enum class ErrorCode {
   kInvalidRequest,
   kUnauthorized,
   kUnknownPath,
   kUnknownModel,
   kTooLarge,
-  kTenantLimit,     ///< The tenant used up a limit of its own.
-  kOverloaded,      ///< The fleet is too busy for this request now.
-  kNoEngine,        ///< No engine could be given the request.
-  kEngineFailed,    ///< The engine failed after it may have begun.
-  kDeadline,        ///< The request took longer than is allowed.
+  kTenantLimit,     ///< The tenant reached one of its limits.
+  kOverloaded,      ///< The fleet is overloaded.
+  kNoEngine,        ///< No engine could take the request.
+  kEngineFailed,    ///< The engine failed and may have started the request.
+  kDeadline,        ///< The request exceeded its deadline.
   kAlreadyClaimed,  ///< A request with this idempotency key was accepted before.
   kNotReady,        ///< The node has no configuration yet, or is leaving.
 };
 
-/// One error.
+/// An error to report to a caller.
 struct CallerError {
   ErrorCode code = ErrorCode::kInvalidRequest;
   std::string message;
   RequestOutcome outcome = RequestOutcome::kNotRun;
-  std::optional<Duration> retry_after;  ///< When a later try makes sense.
+  std::optional<Duration> retry_after;  ///< Value of `Retry-After`.
 };
 
-/// @return the whole reply, without the request's id.
+/// @return the complete reply, without the request ID header.
 HttpReply to_reply(const CallerError& error);
 
-/// @return the JSON body alone, as the data of an event that ends a stream.
+/// @return the JSON body, for the event that ends a failed stream.
 std::string to_event_data(const CallerError& error);
 
 /// @return the value of `error.code`.
--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -13,16 +13,17 @@
 
 namespace shuntbank {
 
-/// All metrics of one node. Labels hold no text of callers but their tenant's and service's names.
+/// All metrics of one node. Labels must not contain caller data.
 class Metrics {
  public:
   Metrics();
 
-  /// Counts a request that has its final answer.
+  /// Counts a finished request.
   /// @param result `ok`, `refused`, `not_run`, `unknown` or `caller_gone`.
   void count_request(const std::string& service, const std::string& result);
 
-  /// Counts a dispatch to an engine and what became of it.
+  /// Counts a finished dispatch to an engine.
+  /// @param result `ok`, `refused` or `failed`.
   void count_attempt(const std::string& service, const std::string& result);
 
   /// Records the time to the first token, in seconds.
@@ -37,7 +38,7 @@
   void set_role_changes(const std::string& service, double count);
   void set_control_bytes(double sent, double received);
 
-  /// @return all metrics as text.
+  /// @return all metrics in the text format.
   std::string to_text() const;
 
  private:
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr Duration kDemandReportInterval = std::chrono::seconds(4);
-/// Between two counts of the nodes that share limits and engines: until the first, a node that has
-/// just started takes itself for the only one.
+/// Until the first update a starting node assumes that it is the only one.
 constexpr Duration kLimitShareInterval = std::chrono::milliseconds(500);
 constexpr Duration kMachineListInterval = std::chrono::seconds(3);
+/// Wait after the callers' listener closed, for requests already in flight to it.
 constexpr Duration kLateArrivalGrace = std::chrono::milliseconds(500);
 constexpr Duration kLeavePollInterval = std::chrono::milliseconds(50);
 constexpr double kRetryReserve = 20;
@@ -33,7 +33,7 @@
 MemberFact self_fact(const Runtime& runtime, const NodeSettings& settings) {
   MemberFact self;
   self.node = NodeId(settings.name);
-  // Wall time makes a restarted node newer than what is remembered of it.
+  // Wall-clock time, so that a restarted node supersedes its previous incarnation.
   self.incarnation = runtime.unix_milliseconds();
   self.boot = self.incarnation;
   self.zone = ZoneName(settings.zone);
@@ -182,7 +182,6 @@
   void continue_leaving() {
     if (runtime_.now() < grace_end_) return;
     if (const auto close = std::exchange(close_callers_, nullptr)) close();
-    // Requests that were on their way when the interface closed still arrive.
     if (queue_.open_requests() > 0 || runtime_.now() < grace_end_ + kLateArrivalGrace) return;
     if (std::exchange(left_, true)) return;
     log_event(LogArea::kProcess, LogLevel::kInfo, "left");
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A whole node: wires the services together. It knows no sockets; `node_server.hpp` gives it some,
-/// and the simulation gives it others.
+/// A complete node: wires the services together. I/O is injected, by `node_server.hpp` or by the
+/// simulation.
 #pragma once
 
 #include <functional>
@@ -16,18 +16,18 @@
 
 namespace shuntbank {
 
-/// What a node does its input and output with. All of it outlives the node.
+/// I/O interfaces of a node. They must outlive it.
 struct NodeIo {
   Runtime& runtime;
   HttpClient& http;
   PeerTransport& peers;
 };
 
-/// One node. All of it runs on one thread.
+/// A cluster node. Not thread-safe: everything runs on one thread.
 class Node {
  public:
-  /// @param settings outlive the node.
-  /// @param on_left called once the node has left, by a signal or an operator's word.
+  /// @param settings must outlive the node.
+  /// @param on_left called once after shutdown, whether a signal or an operator started it.
   Node(const NodeIo& io, const NodeSettings& settings, std::function<void()> on_left);
   ~Node();
   Node(const Node&) = delete;
@@ -39,17 +39,17 @@
   /// Handles a request of an operator.
   void handle_operator(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder);
 
-  /// @return the revision of the configuration that is in force here.
+  /// @return the revision of the active configuration.
   Revision revision() const;
 
-  /// @return how many members this node takes for usable, itself included.
+  /// @return the number of members that this node considers usable, itself included.
   std::size_t usable_members() const;
 
-  /// Sets what closes the callers' interface to new connections, late in leaving.
+  /// Sets the handler that stops accepting callers' connections late in the shutdown.
   void on_close_callers(std::function<void()> handler);
 
-  /// Leaves in order: tells others, gives duties away, ends what it has, then calls `on_left`.
-  /// Further calls change nothing.
+  /// Shuts down gracefully: notifies peers, gives up duties, finishes open requests, then calls
+  /// `on_left`. Further calls have no effect.
   void leave();
 
  private:
--- a/src/node/node_server.cpp
+++ b/src/node/node_server.cpp
@@ -10,7 +10,7 @@
 namespace shuntbank {
 namespace {
 
-/// Room above the largest body that is served, so that a body somewhat too large gets a reply.
+/// Accepts bodies above the limit, so that they get an error reply instead of a closed connection.
 constexpr std::size_t kBodySlackFactor = 4;
 
 HttpServerSettings caller_server(const NodeSettings& settings) {
--- a/src/node/node_server.hpp
+++ b/src/node/node_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A node with real sockets: what `shuntbankd` runs.
+/// A node on real sockets, as run by `shuntbankd`.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -12,17 +12,17 @@
 
 namespace shuntbank {
 
-/// A node and its listening addresses, on one loop.
+/// A node with its listeners, on one event loop.
 class NodeServer {
  public:
-  /// Listens at once. @throw std::system_error when an address cannot be had.
-  /// @pre `settings` were accepted by `check_node_settings`, and outlive the server.
+  /// Starts listening. @throw std::system_error if an address cannot be bound.
+  /// @pre `settings` passed `check_node_settings` and outlive the server.
   NodeServer(asio::io_context& loop, const NodeSettings& settings, std::function<void()> on_left);
   ~NodeServer();
   NodeServer(const NodeServer&) = delete;
   NodeServer& operator=(const NodeServer&) = delete;
 
-  /// As `Node::leave`.
+  /// Shuts down gracefully. See `Node::leave`.
   void leave();
 
  private:
@@ -30,7 +30,7 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Checks what the options alone cannot: that addresses are addresses.
+/// Checks that the addresses are valid, which the option parser does not.
 Findings check_node_settings(const NodeSettings& settings);
 
 }  // namespace shuntbank
--- a/src/node/operator_api.hpp
+++ b/src/node/operator_api.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The operators' interface of a node: configuration, status, health and metrics, on an address
-/// apart from callers. docs/API.md describes it.
+/// HTTP API for operators: configuration, status, health and metrics, on an address of its own.
+/// See docs/API.md.
 #pragma once
 
 #include <functional>
@@ -16,10 +16,10 @@
 
 namespace shuntbank {
 
-/// Serves operators.
+/// Handles the requests of operators.
 class OperatorApi {
  public:
-  /// @param not_ready_reasons names why the node is not ready; empty text when it is.
+  /// @param not_ready_reasons returns why the node is not ready; empty if it is.
   OperatorApi(ConfigService& config, const ClusterService& cluster, const ControlService& control,
               const ClaimService& claims, Metrics& metrics,
               std::function<std::string()> not_ready_reasons, std::function<void()> on_leave);
--- a/src/node/request_queue.hpp
+++ b/src/node/request_queue.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Admission of requests on this node: tenant limits, a fair queue for each service, and a bound on
-/// the requests in flight that follows the engines which can take them.
+/// Request admission on this node: tenant limits, a fair queue per service, and a limit on requests
+/// in flight that scales with the eligible engines.
 #pragma once
 
 #include <map>
@@ -14,23 +14,23 @@
 
 namespace shuntbank {
 
-/// Holds sessions until an engine has room for them.
+/// Queues sessions until an engine has capacity for them.
 class RequestQueue {
  public:
   explicit RequestQueue(ServingContext& context);
 
-  /// Sets how many nodes share the engines and the limits.
+  /// Sets the number of nodes that share the engines and limits.
   void set_node_count(std::size_t node_count);
 
-  /// Admits, queues or refuses. The session gets its answer in any case.
+  /// Dispatches, queues or rejects a request. The responder always gets an answer.
   /// @param policy of the tenant and service; copied.
   void submit(SessionRequest request, const Policy& policy, double weight,
               std::shared_ptr<HttpResponder> responder);
 
-  /// @return requests that are dispatched or wait.
+  /// @return the number of requests queued or in flight.
   std::size_t open_requests() const { return open_requests_; }
 
-  /// Tokens that callers asked for since the last call, by service.
+  /// Tokens requested by callers since the last call of `take_demand`.
   struct Demand {
     double prefill_tokens = 0;
     double decode_tokens = 0;
@@ -43,7 +43,7 @@
     FairQueue queue;
     std::unordered_map<std::uint64_t, std::shared_ptr<RequestSession>> waiting;
     std::size_t in_flight = 0;
-    double mean_service_seconds = 1;  ///< Smoothed time that a request holds its place.
+    double mean_service_seconds = 1;  ///< Moving average of the time in the system.
   };
 
   Lane& lane_of(const ServiceName& service);
--- a/src/node/request_session.cpp
+++ b/src/node/request_session.cpp
@@ -8,10 +8,10 @@
 namespace shuntbank {
 namespace {
 
-/// A caller's unread bytes beyond this pause the engine's stream.
+/// Bytes buffered for a caller above which the engine's stream is paused.
 constexpr std::size_t kMaxPendingBytes = 64UL << 10U;
 
-/// Largest reply of a request that is not streamed, in bytes.
+/// Maximum size of a reply that is not streamed, in bytes.
 constexpr std::size_t kMaxCollectedBytes = 8UL << 20U;
 
 constexpr Duration kFailureRetryAfter = std::chrono::seconds(1);
@@ -58,7 +58,7 @@
   context_.claims.claim(*request_.claim, request_.id,
                         [self = shared_from_this()](ClaimVerdict verdict) {
                           if (self->ended_) {
-                            // Nothing was dispatched, so the key is free again.
+                            // Nothing was dispatched, so the key can be released.
                             self->context_.claims.release(*self->request_.claim, self->request_.id);
                             return;
                           }
@@ -207,14 +207,14 @@
   if (stream_invalid_ || done_received_) return;
   const auto place = parse_chunk_place(event.id);
   if (event.data == kDoneMarker) {
-    // The end counts only from the current attempt, and only when every token was delivered.
+    // Accepted only from the current attempt and after all chunks were delivered.
     const bool from_current_attempt = place && place->attempt == progress_.current_attempt();
     done_received_ = from_current_attempt && place->index == progress_.delivered();
     stream_invalid_ = !done_received_;
     return;
   }
   if (place) return deliver_chunk(event, *place);
-  // The usage event has no place; it is passed on only to a caller who asked for it.
+  // The usage event has no chunk ID; it is relayed only if requested.
   if (request_.wants_usage && stream_started_) {
     responder_->write("data: " + std::string(event.data) + "\n\n");
   }
@@ -302,7 +302,7 @@
 void RequestSession::on_complete_answer() {
   const bool from_current_attempt =
       headers_.get(engine_api::kAttemptIdHeader) == progress_.current_attempt().value();
-  // An answer that names another attempt is not this request's, whatever else it says.
+  // An answer with another attempt ID does not belong to this request.
   if (!from_current_attempt || collected_overflow_)
     return on_attempt_failed(AttemptFailure::kUncertain);
   HttpReply reply;
@@ -338,8 +338,7 @@
 }
 
 bool RequestSession::retry_decode() {
-  // The prefill ran and its KV cache still waits: another engine can decode from it, which is the
-  // same run going on and not a second one.
+  // The KV cache of the prefill is still available, so another engine can continue the same run.
   if (step_ != Step::kAnswer || !prefill_engine_) return false;
   if (failed_engines_.size() >= context_.settings.max_attempts) return false;
   const auto decode = choose(EngineRole::kDecode, false);
@@ -395,7 +394,7 @@
 
 void RequestSession::abandon_transfer() {
   if (!transfer_) return;
-  // Closing the connection tells the engine; the explicit cancel reaches it also through a queue.
+  // Cancels explicitly too, as the closed connection may not reach an engine behind a queue.
   context_.http.cancel(*transfer_);
   transfer_.reset();
   release_engine();
--- a/src/node/request_session.hpp
+++ b/src/node/request_session.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The life of one admitted request on this node: choose an engine, dispatch, relay the answer,
-/// retry elsewhere, and tell the caller the outcome.
+/// Serves one admitted request: chooses an engine, dispatches, relays the answer, retries on other
+/// engines, and reports the outcome to the caller.
 #pragma once
 
 #include <functional>
@@ -26,7 +26,7 @@
 
 namespace shuntbank {
 
-/// What all sessions of a node share.
+/// Dependencies shared by all sessions of a node.
 struct ServingContext {
   Runtime& runtime;
   const NodeSettings& settings;
@@ -42,18 +42,18 @@
 struct SessionRequest {
   RequestId id;
   TenantName tenant;
-  SnapshotPointer snapshot;  ///< Configuration that it is served under, to its end.
+  SnapshotPointer snapshot;  ///< Configuration used for the whole request.
   ServiceName service;
   bool plain = false;
   bool repeatable = true;
-  std::optional<ClaimKey> claim;  ///< Held by replicas before the first dispatch.
+  std::optional<ClaimKey> claim;  ///< Must be granted before the first dispatch.
   bool stream = false;
   bool wants_usage = false;
   std::string method = "POST";
-  std::string path;  ///< At the engine.
+  std::string path;  ///< Path and query at the engine.
   std::string content_type;
-  nlohmann::json body;   ///< Of a model request.
-  std::string raw_body;  ///< Of a plain request.
+  nlohmann::json body;   ///< Model requests only.
+  std::string raw_body;  ///< Plain requests only.
   std::uint64_t prompt_tokens = 1;
   std::uint32_t max_output_tokens = 1;
   std::vector<std::uint64_t> prefix;
@@ -65,11 +65,11 @@
 /// How a session ended.
 struct SessionResult {
   std::string result;    ///< As in `Metrics::count_request`.
-  bool started = false;  ///< It was dispatched, or tried to be.
-  double tokens = 0;     ///< Prompt and output tokens that it used; estimated without a stream.
+  bool started = false;  ///< Whether it left the queue.
+  double tokens = 0;     ///< Prompt and output tokens used; an estimate if not streamed.
 };
 
-/// Serves one request. Keeps itself alive until it has ended.
+/// Serves one request. Pending callbacks keep it alive until it ends.
 class RequestSession : public std::enable_shared_from_this<RequestSession> {
  public:
   using EndHandler = std::function<void(const SessionResult&)>;
@@ -77,13 +77,13 @@
   RequestSession(ServingContext& context, SessionRequest request,
                  std::shared_ptr<HttpResponder> responder, EndHandler on_end);
 
-  /// Dispatches for the first time.
+  /// Claims the idempotency key, if any, and dispatches.
   void start();
 
-  /// Sets what is called when the caller goes away before `start`.
+  /// Sets the handler for a caller that disconnects before `start`.
   void on_disconnect_while_queued(std::function<void()> on_disconnect);
 
-  /// Answers with an error before anything was dispatched.
+  /// Answers with an error. @pre nothing was dispatched.
   void refuse(const CallerError& error);
 
   const SessionRequest& request() const { return request_; }
@@ -127,15 +127,15 @@
   std::unique_ptr<Timer> timer_;
   std::optional<EngineId> prefill_engine_;
   EngineId answer_engine_;
-  std::optional<EngineId> current_engine_;  ///< That the transfer under way goes to.
+  std::optional<EngineId> current_engine_;  ///< Target of the current or last transfer.
   Step step_ = Step::kAnswer;
   std::string kv_handle_;
-  std::vector<EngineId> failed_engines_;  ///< Avoided while another is eligible.
+  std::vector<EngineId> failed_engines_;  ///< Not chosen while another is eligible.
   std::optional<TransferId> transfer_;
   EventStreamSplitter splitter_;
   int status_ = 0;
   HttpHeaders headers_;
-  std::string collected_;  ///< Body of a reply that is not relayed piece by piece.
+  std::string collected_;  ///< Body of a reply that is not streamed.
   bool collected_overflow_ = false;
   bool stream_invalid_ = false;  ///< A chunk was lost or an event was too large.
   bool done_received_ = false;
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -28,40 +28,40 @@
 
 void add_limits(OptionSet& options, NodeSettings& settings) {
   options.add_byte_size("max-body", settings.max_body, 1024, 64UL << 20U,
-                        "Largest request body of a caller.");
+                        "Maximum size of a caller's request body.");
   options.add_whole("max-connections", settings.max_connections, 1, kMaxCount,
-                    "Most connections of callers at once.");
+                    "Maximum number of concurrent caller connections.");
   options.add_whole("max-json-depth", settings.max_json_depth, 4, 512,
-                    "Deepest nesting of a caller's JSON.");
+                    "Maximum nesting depth of a caller's JSON.");
   options.add_duration("request-deadline", settings.request_timeout, seconds(1), hours(1),
-                       "Longest time for a request, from its arrival.");
+                       "Maximum time for a request, from its arrival.");
   options.add_duration("queue-deadline", settings.queue_timeout, milliseconds(10), minutes(10),
-                       "Longest wait for an engine before a request is refused.");
+                       "Maximum wait for an engine before a request is refused.");
   options.add_duration("engine-silence", settings.engine_idle_timeout, seconds(1), hours(1),
-                       "Longest silence of an engine before its attempt counts as failed.");
+                       "Maximum idle time of an engine before the attempt counts as failed.");
   options.add_duration("caller-idle", settings.caller_idle_timeout, seconds(1), hours(1),
-                       "Longest wait for a whole request on an open connection.");
+                       "Maximum wait for a complete request on an open connection.");
   options.add_duration("slow-reader", settings.caller_write_timeout, seconds(1), hours(1),
-                       "Longest time that a caller may take nothing of its reply.");
+                       "Maximum time that a caller may read nothing of its reply.");
 }
 
 void add_behaviour(OptionSet& options, NodeSettings& settings) {
   options.add_whole("max-attempts", settings.max_attempts, 1, 10,
-                    "Most dispatches of one request.");
+                    "Maximum number of dispatches of one request.");
   options.add_number("retry-share", settings.retry_budget_ratio, 0, 1,
-                     "Retries allowed, as a share of requests.");
+                     "Maximum retries, as a fraction of requests.");
   options.add_whole("engine-window", settings.max_in_flight_per_engine, 1, kMaxCount,
-                    "Requests in flight to one engine, all nodes together.");
+                    "Maximum requests in flight to one engine from all nodes.");
   options.add_whole("max-queue", settings.max_queue_length, 0, kMaxCount,
-                    "Most requests that wait for an engine on this node, for each service.");
+                    "Maximum number of queued requests on this node, per service.");
   options.add_duration("leave-grace", settings.leave_grace, Duration(0), minutes(10),
-                       "After a signal to stop: time to go on taking requests while others learn.");
+                       "Time after a stop signal to keep accepting requests until peers know.");
   options.add_duration("lease-length", settings.lease_duration, seconds(1), minutes(5),
-                       "Length of a controller lease.");
+                       "Duration of a controller lease.");
   options.add_duration("claim-retention", settings.claim_retention, seconds(10), hours(24),
-                       "How long an idempotency key is remembered.");
+                       "Retention time of idempotency keys.");
   options.add_whole("seed", settings.seed, 0, UINT64_MAX,
-                    "Seed of random choices; 0: from the system's generator.");
+                    "Seed of the random generator; 0: random.");
 }
 
 }  // namespace
