--- a/src/node/caller_api.cpp
+++ b/src/node/caller_api.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(2);
 constexpr std::size_t kRequestIdBytes = 12;
 
-CallerError invalid(const std::string& message) {
+CallerError invalid_request(const std::string& message) {
   return {ErrorCode::kInvalidRequest, message, RequestOutcome::kNotRun, std::nullopt};
 }
 
@@ -41,10 +41,10 @@
 /// Rejects ambiguous header fields. @return an error message, or an empty string.
 std::string check_header_fields(const HttpHeaders& headers) {
   if (headers.count("Authorization") > 1) return "more than one Authorization field";
-  const std::size_t keys = headers.count("Idempotency-Key");
-  if (keys > 1) return "more than one Idempotency-Key field";
+  const std::size_t key_count = headers.count("Idempotency-Key");
+  if (key_count > 1) return "more than one Idempotency-Key field";
   const std::size_t length = headers.get("Idempotency-Key").size();
-  if (keys == 1 && (length == 0 || length > kMaxIdempotencyKeyBytes)) {
+  if (key_count == 1 && (length == 0 || length > kMaxIdempotencyKeyBytes)) {
     return "an Idempotency-Key has 1 to " + std::to_string(kMaxIdempotencyKeyBytes) + " bytes";
   }
   return "";
@@ -52,12 +52,12 @@
 
 /// @return whether the request may be run more than once, or an error message.
 tl::expected<bool, std::string> is_repeatable(const HttpRequest& request) {
-  const std::string_view mark = request.headers.get("X-Shuntbank-Repeatable");
-  if (!mark.empty() && mark != "true" && mark != "false") {
+  const std::string_view value = request.headers.get("X-Shuntbank-Repeatable");
+  if (!value.empty() && value != "true" && value != "false") {
     return tl::make_unexpected(std::string("X-Shuntbank-Repeatable must be true or false"));
   }
   const bool has_key = !request.headers.get("Idempotency-Key").empty();
-  return mark != "false" && !has_key;
+  return value != "false" && !has_key;
 }
 
 }  // namespace
@@ -76,7 +76,7 @@
                   responder);
   }
   const std::string header_error = check_header_fields(request.headers);
-  if (!header_error.empty()) return refuse(id, invalid(header_error), responder);
+  if (!header_error.empty()) return refuse(id, invalid_request(header_error), responder);
   const Tenant* tenant = authenticate(request, *snapshot);
   if (tenant == nullptr) {
     return refuse(id,
@@ -132,16 +132,16 @@
 
 void CallerApi::handle_completion(const HttpRequest& request, RequestId id, const Tenant& tenant,
                                   CompletionKind kind, const Responder& responder) {
-  if (request.body.size() > settings_.max_body) {
+  if (request.body.size() > settings_.max_body_bytes) {
     return refuse(
         id, {ErrorCode::kTooLarge, "the body is too large", RequestOutcome::kNotRun, std::nullopt},
         responder);
   }
   auto body = parse_bounded(request.body, settings_.max_json_depth);
-  if (!body) return refuse(id, invalid(body.error()), responder);
+  if (!body) return refuse(id, invalid_request(body.error()), responder);
   Findings findings;
   const PromptFacts facts = read_prompt(kind, *body, findings);
-  if (!findings.empty()) return refuse(id, invalid(findings.to_text()), responder);
+  if (!findings.empty()) return refuse(id, invalid_request(findings.to_text()), responder);
   const SnapshotPointer snapshot = config_.replica().snapshot();
   const ModelRoute* route = snapshot->find_model(facts.model);
   if (route == nullptr) {
@@ -166,14 +166,14 @@
 
 void CallerApi::handle_plain(HttpRequest request, RequestId id, const Tenant& tenant,
                              const Responder& responder) {
-  if (request.body.size() > settings_.max_body) {
+  if (request.body.size() > settings_.max_body_bytes) {
     return refuse(
         id, {ErrorCode::kTooLarge, "the body is too large", RequestOutcome::kNotRun, std::nullopt},
         responder);
   }
-  const std::string rest = request.path.substr(kServicesPath.size());
-  const std::size_t slash = std::min(rest.find('/'), rest.size());
-  const ServiceName name(rest.substr(0, slash));
+  const std::string service_path = request.path.substr(kServicesPath.size());
+  const std::size_t slash = std::min(service_path.find('/'), service_path.size());
+  const ServiceName name(service_path.substr(0, slash));
   const Service* service = config_.replica().snapshot()->find_service(name);
   if (service == nullptr || service->kind != ServiceKind::kPlain) {
     return refuse(id,
@@ -186,7 +186,7 @@
   session.service = name;
   session.plain = true;
   session.method = request.method;
-  session.path = slash < rest.size() ? rest.substr(slash) : "/";
+  session.path = slash < service_path.size() ? service_path.substr(slash) : "/";
   if (!request.query.empty()) session.path += "?" + request.query;
   session.content_type = std::string(request.headers.get("Content-Type"));
   session.raw_body = std::move(request.body);
@@ -196,7 +196,7 @@
 void CallerApi::submit(SessionRequest session, const HttpRequest& request, const Tenant& tenant,
                        const Responder& responder) {
   const auto repeatable = is_repeatable(request);
-  if (!repeatable) return refuse(session.id, invalid(repeatable.error()), responder);
+  if (!repeatable) return refuse(session.id, invalid_request(repeatable.error()), responder);
   session.repeatable = *repeatable;
   session.tenant = tenant.name;
   const std::string_view key = request.headers.get("Idempotency-Key");
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxClaims = 200'000;
 
 /// The coordinator and its standbys.
-constexpr std::size_t kCandidates = 3;
+constexpr std::size_t kCoordinatorCandidates = 3;
 
 /// How often a node that is not the coordinator refreshes a stable group record.
 constexpr Duration kPullInterval = std::chrono::seconds(30);
@@ -57,7 +57,7 @@
       ticker_(runtime, kTickInterval, [this] { tick(); }) {}
 
 std::vector<MemberFact> ClaimService::candidates() const {
-  return cluster_.candidates(record_key(region_), kCandidates);
+  return cluster_.candidates(record_key(region_), kCoordinatorCandidates);
 }
 
 bool ClaimService::is_coordinator() const {
--- a/src/node/config_service.cpp
+++ b/src/node/config_service.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kTickInterval = std::chrono::milliseconds(200);
 
 /// Nodes per region that read the platform; the others pull from peers.
-constexpr std::size_t kReadersPerRegion = 2;
+constexpr std::size_t kStoreReadersPerRegion = 2;
 
 /// How long to check whether an unanswered write was stored.
 constexpr Duration kWriteConfirmTimeout = std::chrono::seconds(8);
@@ -42,8 +42,8 @@
   tick();
 }
 
-bool ConfigService::is_reader() const {
-  const auto readers = cluster_->candidates("config-reader", kReadersPerRegion);
+bool ConfigService::is_store_reader() const {
+  const auto readers = cluster_->candidates("config-reader", kStoreReadersPerRegion);
   return std::any_of(readers.begin(), readers.end(), [this](const MemberFact& reader) {
     return reader.node == cluster_->self().node;
   });
@@ -53,7 +53,7 @@
   if (read_pending_ || runtime_.now() < next_read_) return;
   // A starting node reads the platform once, as a peer's revision may be stale.
   if (!ready()) return read_platform();
-  if (is_reader()) watch_platform();
+  if (is_store_reader()) watch_platform();
 }
 
 void ConfigService::read_platform() {
@@ -82,7 +82,7 @@
   consecutive_failures_ = 0;
   if (!result->has_value()) {
     // Nothing is stored, so the empty configuration is valid; or a watch ended without changes.
-    if (!ready()) on_offer_result(replica_.offer(ConfigDocument{}));
+    if (!ready()) on_offer(replica_.offer(ConfigDocument{}));
     next_read_ = runtime_.now() + kInitialBackoff;
     return;
   }
@@ -97,10 +97,10 @@
               {{"findings", document.error().to_text()}});
     return;
   }
-  on_offer_result(replica_.offer(*document));
+  on_offer(replica_.offer(*document));
 }
 
-void ConfigService::on_offer_result(OfferResult result) {
+void ConfigService::on_offer(OfferResult result) {
   if (result == OfferResult::kInvalid) {
     log_event(LogArea::kConfig, LogLevel::kError, "revision_invalid",
               {{"findings", replica_.findings().to_text()}});
@@ -125,8 +125,7 @@
     pull_pending_ = false;
     if (!answer) return;
     const auto* changes = std::get_if<ConfigChanges>(&*answer);
-    if (changes != nullptr)
-      on_offer_result(replica_.offer_changes(changes->base, changes->document));
+    if (changes != nullptr) on_offer(replica_.offer_changes(changes->base, changes->document));
   });
 }
 
@@ -174,7 +173,7 @@
   const std::uint64_t version = stored ? stored->version : 0;
   platform_.write(kConfigKey, version, to_json(*next), [this, change](const auto& result) {
     if (!result) return confirm_write(change);
-    if (result->applied) return complete_change(change, *change->written);
+    if (result->applied) return finish(change, *change->written);
     read_for_change(change);  // Lost a write race: retry on the current document.
   });
 }
@@ -183,8 +182,7 @@
   platform_.read(kConfigKey, [this, change](const auto& stored) {
     if (stored && stored->has_value()) {
       const auto document = document_from_json((*stored)->value);
-      if (document && document->contains_write(change->write_id))
-        return complete_change(change, *document);
+      if (document && document->contains_write(change->write_id)) return finish(change, *document);
     }
     // The write may still be in flight, so it can neither be resent nor reported as failed.
     if (runtime_.now() >= change->confirm_deadline) {
@@ -194,9 +192,8 @@
   });
 }
 
-void ConfigService::complete_change(const std::shared_ptr<Change>& change,
-                                    const ConfigDocument& document) {
-  on_offer_result(replica_.offer(document));
+void ConfigService::finish(const std::shared_ptr<Change>& change, const ConfigDocument& document) {
+  on_offer(replica_.offer(document));
   change->handler(document.revision);
 }
 
--- a/src/node/config_service.hpp
+++ b/src/node/config_service.hpp
@@ -64,18 +64,18 @@
   struct Change;
 
   void tick();
-  bool is_reader() const;
+  bool is_store_reader() const;
   void read_platform();
   void watch_platform();
   void on_platform_value(const tl::expected<std::optional<VersionedValue>, PlatformError>& result);
   void adopt_document(const nlohmann::json& value);
   void pull_from(const std::string& address);
-  void on_offer_result(OfferResult result);
+  void on_offer(OfferResult result);
   void read_for_change(const std::shared_ptr<Change>& change);
   void write_change(const std::shared_ptr<Change>& change,
                     const std::optional<VersionedValue>& stored);
   void confirm_write(const std::shared_ptr<Change>& change);
-  void complete_change(const std::shared_ptr<Change>& change, const ConfigDocument& document);
+  void finish(const std::shared_ptr<Change>& change, const ConfigDocument& document);
 
   Runtime& runtime_;
   ObjectClient& platform_;
--- a/src/node/control_service.cpp
+++ b/src/node/control_service.cpp
@@ -133,14 +133,15 @@
 
 void ControlService::drop_controller(Duty& duty) {
   if (!duty.controller) return;
-  duty.role_changes_before += duty.controller->role_changes();
-  duty.counters = duty.controller->counters();
+  duty.previous_role_changes += duty.controller->role_changes();
+  duty.initial_counters = duty.controller->counters();
   duty.controller.reset();
 }
 
 void ControlService::create_controller(const ServiceName& service, Duty& duty, Fence fence) {
   drop_controller(duty);
-  duty.controller = std::make_unique<EngineController>(fence, ControllerSettings{}, duty.counters);
+  duty.controller =
+      std::make_unique<EngineController>(fence, ControllerSettings{}, duty.initial_counters);
   duty.planner.reset();
   configure(snapshot_);
   log_event(LogArea::kControl, LogLevel::kInfo, "lease_taken",
@@ -255,7 +256,7 @@
     status.holder = duty.lease.last_seen().record.holder;
     status.fence = duty.lease.authority(runtime_.now());
     status.plan = duty.plan;
-    status.role_changes = duty.role_changes_before;
+    status.role_changes = duty.previous_role_changes;
     if (duty.controller) {
       status.role_changes += duty.controller->role_changes();
       status.drain_timeouts = duty.controller->put_off();
--- a/src/node/control_service.hpp
+++ b/src/node/control_service.hpp
@@ -60,8 +60,8 @@
     std::string plan = "none";
     MonotonicTime next_plan{};
     MonotonicTime next_standby_poll{};
-    ControlCounters counters;               ///< Carried over from the previous controller.
-    std::uint64_t role_changes_before = 0;  ///< Made by previous controllers.
+    ControlCounters initial_counters;         ///< Carried over from the previous controller.
+    std::uint64_t previous_role_changes = 0;  ///< Made by previous controllers.
   };
 
   void tick();
--- a/src/node/error_reply.cpp
+++ b/src/node/error_reply.cpp
@@ -6,13 +6,13 @@
 namespace shuntbank {
 namespace {
 
-struct ErrorShape {
+struct ErrorFields {
   int status;
   const char* type;
   const char* code;
 };
 
-ErrorShape shape_of(ErrorCode code) {
+ErrorFields fields_of(ErrorCode code) {
   switch (code) {
     case ErrorCode::kInvalidRequest:
       return {400, "invalid_request_error", "invalid_request"};
@@ -45,14 +45,14 @@
 }  // namespace
 
 const char* to_text(ErrorCode code) {
-  return shape_of(code).code;
+  return fields_of(code).code;
 }
 
 std::string to_event_data(const CallerError& error) {
-  const ErrorShape shape = shape_of(error.code);
+  const ErrorFields fields = fields_of(error.code);
   const nlohmann::json body{{"error",
-                             {{"type", shape.type},
-                              {"code", shape.code},
+                             {{"type", fields.type},
+                              {"code", fields.code},
                               {"message", error.message},
                               {"outcome", to_text(error.outcome)}}}};
   return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -60,7 +60,7 @@
 
 HttpReply to_reply(const CallerError& error) {
   HttpReply reply;
-  reply.status = shape_of(error.code).status;
+  reply.status = fields_of(error.code).status;
   reply.headers.add("Content-Type", "application/json");
   if (error.retry_after) {
     const double seconds = std::max(1.0, std::ceil(to_seconds(*error.retry_after)));
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -24,7 +24,7 @@
 /// Wait after the callers' listener closed, for requests already in flight to it.
 constexpr Duration kLateArrivalGrace = std::chrono::milliseconds(500);
 constexpr Duration kLeavePollInterval = std::chrono::milliseconds(50);
-constexpr double kRetryReserve = 20;
+constexpr double kRetryBudgetReserve = 20;
 
 std::uint64_t choose_seed(std::uint64_t configured) {
   return configured != 0 ? configured : std::random_device{}();
@@ -53,9 +53,9 @@
         platform_(io.http, settings.platform),
         engine_client_(io.http),
         router_(RoutingSettings{}, seed_),
-        retry_budget_(settings.retry_budget_ratio, kRetryReserve),
+        retry_budget_(settings.retry_budget_ratio, kRetryBudgetReserve),
         config_(io.runtime, platform_, seed_,
-                [this](const SnapshotPointer& snapshot) { on_config(snapshot); }),
+                [this](const SnapshotPointer& snapshot) { on_configuration_adopted(snapshot); }),
         cluster_(io.runtime, io.peers, self_fact(io.runtime, settings), seed_, cluster_hooks()),
         control_(io.runtime, platform_, engine_client_, cluster_, RegionName(settings.region),
                  settings.lease_duration),
@@ -120,7 +120,7 @@
     return hooks;
   }
 
-  void on_config(const SnapshotPointer& snapshot) {
+  void on_configuration_adopted(const SnapshotPointer& snapshot) {
     std::vector<EngineId> names;
     for (const auto& [name, engine] : snapshot->engines()) {
       engines_.upsert(name, engine.zone);
--- a/src/node/node_server.cpp
+++ b/src/node/node_server.cpp
@@ -17,7 +17,7 @@
   HttpServerSettings server;
   server.listen = *parse_endpoint(settings.callers_listen);
   server.max_connections = settings.max_connections;
-  server.max_body = settings.max_body * kBodySlackFactor;
+  server.max_body = settings.max_body_bytes * kBodySlackFactor;
   server.idle_timeout = settings.caller_idle_timeout;
   server.write_timeout = settings.caller_write_timeout;
   return server;
--- a/src/node/request_queue.cpp
+++ b/src/node/request_queue.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 constexpr Duration kOverloadRetryAfter = std::chrono::seconds(2);
-constexpr double kServiceTimeSmoothing = 0.05;
+constexpr double kLatencySmoothing = 0.05;
 
 const char* describe(LimitKind kind) {
   switch (kind) {
@@ -39,8 +39,8 @@
   limiter_.set_share(1.0 / static_cast<double>(node_count_));
 }
 
-RequestQueue::Lane& RequestQueue::lane_of(const ServiceName& service) {
-  return lanes_.try_emplace(service, context_.settings.max_queue_length).first->second;
+RequestQueue::ServiceQueue& RequestQueue::queue_for(const ServiceName& service) {
+  return service_queues_.try_emplace(service, context_.settings.max_queue_length).first->second;
 }
 
 std::size_t RequestQueue::capacity(const SessionRequest& request) const {
@@ -54,19 +54,19 @@
   return static_cast<std::size_t>(std::ceil(window / static_cast<double>(node_count_)));
 }
 
-std::optional<CallerError> RequestQueue::check_admission(const Lane& lane,
+std::optional<CallerError> RequestQueue::check_admission(const ServiceQueue& service_queue,
                                                          const SessionRequest& request,
                                                          const Policy& policy) const {
   const std::size_t slots = std::max<std::size_t>(1, capacity(request));
-  const double wait = static_cast<double>(lane.queue.size()) * lane.mean_service_seconds /
-                      static_cast<double>(slots);
+  const double wait = static_cast<double>(service_queue.queue.size()) *
+                      service_queue.mean_latency_seconds / static_cast<double>(slots);
   const bool too_late = from_seconds(wait) > context_.settings.queue_timeout;
-  if (too_late || lane.queue.size() >= context_.settings.max_queue_length) {
+  if (too_late || service_queue.queue.size() >= context_.settings.max_queue_length) {
     return CallerError{ErrorCode::kOverloaded, "too many requests wait for an engine",
                        RequestOutcome::kNotRun, std::max(kOverloadRetryAfter, from_seconds(wait))};
   }
   const std::uint32_t max_waiting = policy.limits.queue_length;
-  if (max_waiting > 0 && lane.queue.size_of(request.tenant) >= max_waiting) {
+  if (max_waiting > 0 && service_queue.queue.size_of(request.tenant) >= max_waiting) {
     return CallerError{ErrorCode::kTenantLimit, "too many of the tenant's requests wait",
                        RequestOutcome::kNotRun, kOverloadRetryAfter};
   }
@@ -76,7 +76,7 @@
 void RequestQueue::submit(SessionRequest request, const Policy& policy, double weight,
                           std::shared_ptr<HttpResponder> responder) {
   const MonotonicTime now = context_.runtime.now();
-  Lane& lane = lane_of(request.service);
+  ServiceQueue& service_queue = queue_for(request.service);
   const ServiceName service = request.service;
   QueueItem item;
   item.id = ++last_id_;
@@ -85,7 +85,7 @@
   item.priority = policy.priority;
   item.cost = estimate_tokens(request);
   item.deadline = now + context_.settings.queue_timeout;
-  std::optional<CallerError> error = check_admission(lane, request, policy);
+  std::optional<CallerError> error = check_admission(service_queue, request, policy);
   bool admitted = false;
   if (!error) {
     const auto limit = limiter_.admit(now, request.tenant, policy.limits, item.cost);
@@ -107,29 +107,29 @@
         on_end(service, item, admitted, result, now);
       });
   if (error) return session->refuse(*error);
-  enqueue(lane, session, item);
+  enqueue(service_queue, session, item);
 }
 
-void RequestQueue::enqueue(Lane& lane, const std::shared_ptr<RequestSession>& session,
-                           const QueueItem& item) {
-  lane.waiting.emplace(item.id, session);
-  lane.queue.push(item);
-  session->on_disconnect_while_queued([&lane, id = item.id] {
-    lane.queue.remove(id);
-    lane.waiting.erase(id);
+void RequestQueue::enqueue(ServiceQueue& service_queue,
+                           const std::shared_ptr<RequestSession>& session, const QueueItem& item) {
+  service_queue.waiting.emplace(item.id, session);
+  service_queue.queue.push(item);
+  session->on_disconnect_while_queued([&service_queue, id = item.id] {
+    service_queue.queue.remove(id);
+    service_queue.waiting.erase(id);
   });
-  dispatch_waiting(lane);
+  dispatch_waiting(service_queue);
 }
 
-void RequestQueue::dispatch_waiting(Lane& lane) {
-  while (lane.queue.size() > 0) {
-    const auto& sample = *lane.waiting.begin()->second;
-    if (lane.in_flight >= capacity(sample.request())) return;
-    const auto item = lane.queue.pop();
-    const auto entry = lane.waiting.find(item->id);
+void RequestQueue::dispatch_waiting(ServiceQueue& service_queue) {
+  while (service_queue.queue.size() > 0) {
+    const auto& sample = *service_queue.waiting.begin()->second;
+    if (service_queue.in_flight >= capacity(sample.request())) return;
+    const auto item = service_queue.queue.pop();
+    const auto entry = service_queue.waiting.find(item->id);
     const std::shared_ptr<RequestSession> session = entry->second;
-    lane.waiting.erase(entry);
-    ++lane.in_flight;
+    service_queue.waiting.erase(entry);
+    ++service_queue.in_flight;
     session->start();
   }
 }
@@ -138,17 +138,17 @@
   const MonotonicTime now = context_.runtime.now();
   std::size_t waiting = 0;
   std::size_t in_flight = 0;
-  for (auto& [service, lane] : lanes_) {
-    for (const QueueItem& item : lane.queue.take_expired(now)) {
-      const auto entry = lane.waiting.find(item.id);
+  for (auto& [service, service_queue] : service_queues_) {
+    for (const QueueItem& item : service_queue.queue.take_expired(now)) {
+      const auto entry = service_queue.waiting.find(item.id);
       const std::shared_ptr<RequestSession> session = entry->second;
-      lane.waiting.erase(entry);
+      service_queue.waiting.erase(entry);
       session->refuse({ErrorCode::kOverloaded, "no engine had room in time",
                        RequestOutcome::kNotRun, kOverloadRetryAfter});
     }
-    dispatch_waiting(lane);
-    waiting += lane.queue.size();
-    in_flight += lane.in_flight;
+    dispatch_waiting(service_queue);
+    waiting += service_queue.queue.size();
+    in_flight += service_queue.in_flight;
   }
   context_.metrics.set_queue_length(static_cast<double>(waiting));
   context_.metrics.set_in_flight(static_cast<double>(in_flight));
@@ -158,14 +158,15 @@
                           const SessionResult& result, MonotonicTime submitted_at) {
   --open_requests_;
   if (!admitted) return;
-  Lane& lane = lane_of(service);
+  ServiceQueue& service_queue = queue_for(service);
   limiter_.finish(item.tenant, item.cost, result.tokens);
-  lane.queue.settle(item.tenant, item.weight, item.cost, result.tokens);
+  service_queue.queue.settle(item.tenant, item.weight, item.cost, result.tokens);
   if (!result.started) return;
-  --lane.in_flight;
+  --service_queue.in_flight;
   const double elapsed = to_seconds(context_.runtime.now() - submitted_at);
-  lane.mean_service_seconds += kServiceTimeSmoothing * (elapsed - lane.mean_service_seconds);
-  dispatch_waiting(lane);
+  service_queue.mean_latency_seconds +=
+      kLatencySmoothing * (elapsed - service_queue.mean_latency_seconds);
+  dispatch_waiting(service_queue);
 }
 
 std::map<ServiceName, RequestQueue::Demand> RequestQueue::take_demand() {
--- a/src/node/request_queue.hpp
+++ b/src/node/request_queue.hpp
@@ -38,27 +38,29 @@
   std::map<ServiceName, Demand> take_demand();
 
  private:
-  struct Lane {
-    explicit Lane(std::size_t max_queue) : queue(max_queue) {}
+  struct ServiceQueue {
+    explicit ServiceQueue(std::size_t max_length) : queue(max_length) {}
     FairQueue queue;
     std::unordered_map<std::uint64_t, std::shared_ptr<RequestSession>> waiting;
     std::size_t in_flight = 0;
-    double mean_service_seconds = 1;  ///< Moving average of the time in the system.
+    double mean_latency_seconds = 1;  ///< Moving average of the time in the system.
   };
 
-  Lane& lane_of(const ServiceName& service);
+  ServiceQueue& queue_for(const ServiceName& service);
   std::size_t capacity(const SessionRequest& request) const;
-  std::optional<CallerError> check_admission(const Lane& lane, const SessionRequest& request,
+  std::optional<CallerError> check_admission(const ServiceQueue& service_queue,
+                                             const SessionRequest& request,
                                              const Policy& policy) const;
-  void enqueue(Lane& lane, const std::shared_ptr<RequestSession>& session, const QueueItem& item);
-  void dispatch_waiting(Lane& lane);
+  void enqueue(ServiceQueue& service_queue, const std::shared_ptr<RequestSession>& session,
+               const QueueItem& item);
+  void dispatch_waiting(ServiceQueue& service_queue);
   void tick();
   void on_end(const ServiceName& service, const QueueItem& item, bool admitted,
               const SessionResult& result, MonotonicTime submitted_at);
 
   ServingContext& context_;
   TenantLimiter limiter_;
-  std::map<ServiceName, Lane> lanes_;
+  std::map<ServiceName, ServiceQueue> service_queues_;
   std::map<ServiceName, Demand> demand_;
   std::size_t node_count_ = 1;
   std::size_t open_requests_ = 0;
--- a/src/node/request_session.cpp
+++ b/src/node/request_session.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxPendingBytes = 64UL << 10U;
 
 /// Maximum size of a reply that is not streamed, in bytes.
-constexpr std::size_t kMaxCollectedBytes = 8UL << 20U;
+constexpr std::size_t kMaxReplyBodyBytes = 8UL << 20U;
 
 constexpr Duration kFailureRetryAfter = std::chrono::seconds(1);
 
@@ -46,7 +46,7 @@
   responder_->on_closed([weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->on_caller_gone();
   });
-  timer_ =
+  deadline_timer_ =
       context_.runtime.after(request_.deadline - context_.runtime.now(), [weak = weak_from_this()] {
         if (const auto self = weak.lock()) self->on_deadline();
       });
@@ -87,7 +87,7 @@
   end("refused");
 }
 
-std::optional<EngineId> RequestSession::choose(EngineRole role, bool any_role) {
+std::optional<EngineId> RequestSession::choose_engine(EngineRole role, bool any_role) {
   RouteQuery query;
   query.engines = &request_.snapshot->engines_of(request_.service);
   query.avoid = &failed_engines_;
@@ -101,13 +101,13 @@
 
 bool RequestSession::choose_engines() {
   prefill_engine_.reset();
-  auto mixed = choose(EngineRole::kMixed, request_.plain);
+  auto mixed = choose_engine(EngineRole::kMixed, request_.plain);
   if (mixed) {
     answer_engine_ = *mixed;
     return true;
   }
-  const auto prefill = choose(EngineRole::kPrefill, false);
-  const auto decode = choose(EngineRole::kDecode, false);
+  const auto prefill = choose_engine(EngineRole::kPrefill, false);
+  const auto decode = choose_engine(EngineRole::kDecode, false);
   if (!prefill || !decode) return false;
   prefill_engine_ = prefill;
   answer_engine_ = *decode;
@@ -153,17 +153,17 @@
   step_ = step;
   current_engine_ = engine;
   status_ = 0;
-  collected_.clear();
-  collected_overflow_ = false;
+  reply_body_.clear();
+  reply_overflow_ = false;
   stream_invalid_ = false;
   done_received_ = false;
   splitter_ = EventStreamSplitter();
   EngineEntry* entry = context_.engines.find(engine);
   if (entry != nullptr) {
     ++entry->in_flight;
-    const bool prefills = step == Step::kPrefill || !prefill_engine_;
-    if (prefills) entry->in_flight_prefill += request_.prompt_tokens;
-    if (prefills) entry->cached_prefixes.insert(request_.prefix);
+    const bool includes_prefill = step == Step::kPrefill || !prefill_engine_;
+    if (includes_prefill) entry->in_flight_prefill += request_.prompt_tokens;
+    if (includes_prefill) entry->cached_prefixes.insert(request_.prefix);
   }
   const auto self = shared_from_this();
   TransferHandlers handlers;
@@ -185,9 +185,8 @@
 bool RequestSession::on_data(std::string_view piece) {
   const bool relayed = request_.stream && step_ == Step::kAnswer && status_ == 200;
   if (!relayed) {
-    collected_overflow_ =
-        collected_overflow_ || collected_.size() + piece.size() > kMaxCollectedBytes;
-    if (!collected_overflow_) collected_ += piece;
+    reply_overflow_ = reply_overflow_ || reply_body_.size() + piece.size() > kMaxReplyBodyBytes;
+    if (!reply_overflow_) reply_body_ += piece;
     return true;
   }
   if (responder_->pending_bytes() > kMaxPendingBytes) {
@@ -197,9 +196,9 @@
     });
     return false;
   }
-  const bool usable =
+  const bool well_formed =
       splitter_.feed(piece, [this](const ServerSentEvent& event) { on_event(event); });
-  stream_invalid_ = stream_invalid_ || !usable;
+  stream_invalid_ = stream_invalid_ || !well_formed;
   return true;
 }
 
@@ -279,7 +278,7 @@
 }
 
 void RequestSession::on_prefill_done() {
-  const auto reply = nlohmann::json::parse(collected_, nullptr, false);
+  const auto reply = nlohmann::json::parse(reply_body_, nullptr, false);
   if (!reply.is_object() || !reply.contains("kv_handle")) {
     return on_attempt_failed(AttemptFailure::kUncertain);
   }
@@ -303,13 +302,13 @@
   const bool from_current_attempt =
       headers_.get(engine_api::kAttemptIdHeader) == progress_.current_attempt().value();
   // An answer with another attempt ID does not belong to this request.
-  if (!from_current_attempt || collected_overflow_)
+  if (!from_current_attempt || reply_overflow_)
     return on_attempt_failed(AttemptFailure::kUncertain);
   HttpReply reply;
   reply.status = status_;
   reply.headers.add("Content-Type", std::string(headers_.get("Content-Type")));
   reply.headers.add(engine_api::kRequestIdHeader, request_.id.value());
-  reply.body = std::move(collected_);
+  reply.body = std::move(reply_body_);
   responder_->respond(std::move(reply));
   context_.engines.on_success(*current_engine_);
   context_.metrics.count_attempt(request_.service.value(), "ok");
@@ -341,7 +340,7 @@
   // The KV cache of the prefill is still available, so another engine can continue the same run.
   if (step_ != Step::kAnswer || !prefill_engine_) return false;
   if (failed_engines_.size() >= context_.settings.max_attempts) return false;
-  const auto decode = choose(EngineRole::kDecode, false);
+  const auto decode = choose_engine(EngineRole::kDecode, false);
   if (!decode || *decode == *current_engine_) return false;
   answer_engine_ = *decode;
   send(answer_engine_, Step::kAnswer);
@@ -371,8 +370,8 @@
   EngineEntry* entry = current_engine_ ? context_.engines.find(*current_engine_) : nullptr;
   if (entry == nullptr) return;
   if (entry->in_flight > 0) --entry->in_flight;
-  const bool prefills = step_ == Step::kPrefill || !prefill_engine_;
-  if (prefills && !first_token_recorded_) {
+  const bool includes_prefill = step_ == Step::kPrefill || !prefill_engine_;
+  if (includes_prefill && !first_token_recorded_) {
     entry->in_flight_prefill -= std::min(entry->in_flight_prefill, request_.prompt_tokens);
   }
 }
@@ -380,7 +379,7 @@
 void RequestSession::on_deadline() {
   if (ended_) return;
   const RequestOutcome outcome = progress_.outcome_if_abandoned();
-  abandon_transfer();
+  cancel_transfer();
   respond_error(
       {ErrorCode::kDeadline, "the request took longer than is allowed", outcome, std::nullopt});
   end(to_text(outcome));
@@ -388,11 +387,11 @@
 
 void RequestSession::on_caller_gone() {
   if (ended_) return;
-  abandon_transfer();
+  cancel_transfer();
   end("caller_gone");
 }
 
-void RequestSession::abandon_transfer() {
+void RequestSession::cancel_transfer() {
   if (!transfer_) return;
   // Cancels explicitly too, as the closed connection may not reach an engine behind a queue.
   context_.http.cancel(*transfer_);
@@ -416,7 +415,7 @@
 
 void RequestSession::end(const std::string& result) {
   if (std::exchange(ended_, true)) return;
-  timer_.reset();
+  deadline_timer_.reset();
   context_.metrics.count_request(request_.service.value(), result);
   const auto handler = std::exchange(on_end_, nullptr);
   if (handler) handler({result, started_, tokens_used()});
--- a/src/node/request_session.hpp
+++ b/src/node/request_session.hpp
@@ -95,7 +95,7 @@
   void on_claim(ClaimVerdict verdict);
   void dispatch();
   bool choose_engines();
-  std::optional<EngineId> choose(EngineRole role, bool any_role);
+  std::optional<EngineId> choose_engine(EngineRole role, bool any_role);
   void send(const EngineId& engine, Step step);
   OutgoingRequest make_request(const EngineId& engine, Step step) const;
   std::string make_body(Step step) const;
@@ -113,7 +113,7 @@
   void abort_request(RequestOutcome outcome);
   void on_deadline();
   void on_caller_gone();
-  void abandon_transfer();
+  void cancel_transfer();
   double tokens_used() const;
   void end(const std::string& result);
   void begin_stream();
@@ -124,7 +124,7 @@
   std::shared_ptr<HttpResponder> responder_;
   EndHandler on_end_;
   RequestProgress progress_;
-  std::unique_ptr<Timer> timer_;
+  std::unique_ptr<Timer> deadline_timer_;
   std::optional<EngineId> prefill_engine_;
   EngineId answer_engine_;
   std::optional<EngineId> current_engine_;  ///< Target of the current or last transfer.
@@ -135,8 +135,8 @@
   EventStreamSplitter splitter_;
   int status_ = 0;
   HttpHeaders headers_;
-  std::string collected_;  ///< Body of a reply that is not streamed.
-  bool collected_overflow_ = false;
+  std::string reply_body_;  ///< Body of a reply that is not streamed.
+  bool reply_overflow_ = false;
   bool stream_invalid_ = false;  ///< A chunk was lost or an event was too large.
   bool done_received_ = false;
   bool stream_started_ = false;
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -27,7 +27,7 @@
 }
 
 void add_limits(OptionSet& options, NodeSettings& settings) {
-  options.add_byte_size("max-body", settings.max_body, 1024, 64UL << 20U,
+  options.add_byte_size("max-body", settings.max_body_bytes, 1024, 64UL << 20U,
                         "Maximum size of a caller's request body.");
   options.add_whole("max-connections", settings.max_connections, 1, kMaxCount,
                     "Maximum number of concurrent caller connections.");
--- a/src/node/settings.hpp
+++ b/src/node/settings.hpp
@@ -20,7 +20,7 @@
   std::string callers_listen = "127.0.0.1:0";
   std::string operators_listen = "127.0.0.1:0";
   std::string cluster_listen = "127.0.0.1:0";
-  std::uint64_t max_body = 4UL << 20U;  ///< Of a caller's request.
+  std::uint64_t max_body_bytes = 4UL << 20U;  ///< Of a caller's request.
   std::uint64_t max_connections = 4096;
   std::uint64_t max_json_depth = 64;
   Duration request_timeout = std::chrono::minutes(5);
