--- a/src/bench/hollow_command.cpp
+++ b/src/bench/hollow_command.cpp
@@ -140,7 +140,7 @@
 
   double spread_change() {
     const Revision before = fleet_.newest_revision();
-    fleet_.edit(0, "changed");
+    fleet_.edit_tenant(0, "changed");
     return until([this, before] { return fleet_.oldest_revision() > before; });
   }
 
--- a/src/bench/simulate_command.cpp
+++ b/src/bench/simulate_command.cpp
@@ -56,8 +56,8 @@
       lock.lock();
       ++schedules;
       requests += result.requests;
-      whole += result.whole;
-      if (!result.broken.empty()) broken.emplace(seed, std::move(result));
+      whole += result.completed;
+      if (!result.violation.empty()) broken.emplace(seed, std::move(result));
     }
   }
 
@@ -91,8 +91,8 @@
   const SeedRunner run(range, threads);
   std::map<std::string, std::uint64_t> kinds;
   for (const auto& [seed, result] : run.broken) {
-    output << "seed " << seed << ": " << result.broken << "\n";
-    ++kinds[result.broken.substr(0, result.broken.find(':'))];
+    output << "seed " << seed << ": " << result.violation << "\n";
+    ++kinds[result.violation.substr(0, result.violation.find(':'))];
   }
   if (events && !run.broken.empty()) {
     for (const std::string& event : run.broken.begin()->second.events) output << event << "\n";
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -18,7 +18,7 @@
 constexpr const char* kKey = "sb-simulated";
 
 /// New work may reach a leaving engine for this long: the list's lag and a node's interval.
-constexpr Duration kLeavingBound = std::chrono::seconds(8);
+constexpr Duration kDrainingGrace = std::chrono::seconds(8);
 
 /// Longer than any simulated request can be on its way.
 constexpr Duration kClaimRetention = std::chrono::minutes(3);
@@ -38,14 +38,14 @@
   std::unique_ptr<Node> node;
   std::uint64_t boot = 0;
   Revision last_revision = 0;
-  bool left = false;
+  bool has_left = false;
 };
 
 /// An engine and what is known of it from outside.
 struct Fleet::SimEngine {
   ProcessPointer process;
   std::unique_ptr<EngineStandin> standin;
-  std::optional<MonotonicTime> leaving_since;
+  std::optional<MonotonicTime> draining_since;
 };
 
 Fleet::Fleet(const FleetSettings& wanted) : world(wanted.seed, wanted.network), settings(wanted) {
@@ -95,7 +95,7 @@
 
 void Fleet::start_node(int index) {
   auto node = std::make_unique<SimNode>();
-  node->boot = ++boots_;
+  node->boot = ++boot_count_;
   node->settings.name = numbered("n", index);
   node->settings.zone = numbered("z", index % settings.zones);
   node->settings.region = numbered("r", index % settings.zones % settings.regions);
@@ -112,7 +112,7 @@
   SimNode* raw = node.get();
   node->node = std::make_unique<Node>(NodeIo{*node->process, *node->http, *node->transport},
                                       node->settings, [raw] {
-                                        raw->left = true;
+                                        raw->has_left = true;
                                         raw->process->kill();
                                       });
   node->process->http_handler = [raw](const HttpRequest& request, const auto& responder) {
@@ -123,9 +123,9 @@
     raw->node->handle_caller(request, responder);
   };
   node->node->on_close_callers([raw] { raw->process->listening = false; });
-  auto& place = nodes_.at(static_cast<std::size_t>(index));
-  if (place) graveyard_.push_back(std::move(place));
-  place = std::move(node);
+  auto& slot = nodes_.at(static_cast<std::size_t>(index));
+  if (slot) stopped_nodes_.push_back(std::move(slot));
+  slot = std::move(node);
   fetch(kPlatformAddress, "PUT", "/machines?name=" + numbered("n", index),
         {{"kind", "node"}, {"address", node_address(index)}, {"state", "live"}});
 }
@@ -253,11 +253,11 @@
   return node.process->alive() && !node.process->frozen();
 }
 
-void Fleet::ask(int node, std::uint32_t tokens, const std::string& logical) {
+void Fleet::send_request(int node, std::uint32_t tokens, const std::string& request_key) {
   auto request = std::make_shared<CallerRequest>();
-  request->mark = numbered("try-", ++asked_);
-  request->logical = logical.empty() ? request->mark : logical;
-  request->once = !logical.empty();
+  request->try_id = numbered("try-", ++request_count_);
+  request->request_key = request_key.empty() ? request->try_id : request_key;
+  request->at_most_once = !request_key.empty();
   request->node = node;
   request->sent = world.now();
   request->node_disturbed = !node_running(node);
@@ -266,12 +266,12 @@
   outgoing.method = "POST";
   outgoing.url = "http://" + node_address(node) + "/v1/completions";
   outgoing.headers.add("Authorization", std::string("Bearer ") + kKey);
-  if (request->once) outgoing.headers.add("Idempotency-Key", request->logical);
+  if (request->at_most_once) outgoing.headers.add("Idempotency-Key", request->request_key);
   outgoing.total_timeout = std::chrono::seconds(60);
   outgoing.body = json{
-      {"model", numbered("m", asked_ % settings.models)},
-      {"prompt", request->mark},
-      {"user", request->logical + "/" + request->mark},
+      {"model", numbered("m", request_count_ % settings.models)},
+      {"prompt", request->try_id},
+      {"user", request->request_key + "/" + request->try_id},
       {"max_tokens", tokens},
       {"stream",
        true}}.dump();
@@ -286,7 +286,7 @@
     }
     splitter->feed(piece, [request](const ServerSentEvent& event) {
       if (event.data == kDoneMarker) {
-        request->whole = true;
+        request->completed = true;
         return;
       }
       const json chunk = json::parse(event.data, nullptr, false);
@@ -306,18 +306,19 @@
     if (error.is_object() && error.contains("error")) {
       request->outcome = error["error"].value("outcome", "");
     }
-    request->whole = request->whole && request->text == whole_answer(request->mark, tokens);
+    request->completed =
+        request->completed && request->text == whole_answer(request->try_id, tokens);
   };
   caller_http_->start(std::move(outgoing), std::move(handlers));
 }
 
-void Fleet::edit(int node, const std::string& tenant) {
+void Fleet::edit_tenant(int node, const std::string& tenant) {
   OutgoingRequest request;
   request.method = "POST";
   request.url = "http://" + node_address(node) + "/v1/config/changes";
   request.body =
       to_json(std::vector<ObjectEdit>{set_object(ObjectKind::kTenant, tenant, 0,
-                                                 {{"weight", static_cast<double>(++edits_)}})})
+                                                 {{"weight", static_cast<double>(++edit_count_)}})})
           .dump();
   request.total_timeout = std::chrono::seconds(20);
   caller_http_->fetch(std::move(request), [this, tenant](const auto& reply) {
@@ -326,19 +327,19 @@
   });
 }
 
-void Fleet::disturb(int node) {
+void Fleet::mark_requests_disturbed(int node) {
   for (const auto& request : requests) {
     if (request->node == node && !request->ended) request->node_disturbed = true;
   }
 }
 
 void Fleet::kill_node(int index) {
-  disturb(index);
+  mark_requests_disturbed(index);
   nodes_.at(static_cast<std::size_t>(index))->process->kill();
 }
 
 void Fleet::freeze_node(int index) {
-  disturb(index);
+  mark_requests_disturbed(index);
   nodes_.at(static_cast<std::size_t>(index))->process->freeze();
 }
 
@@ -383,14 +384,14 @@
   caller_http_->fetch(std::move(request), [](const auto&) {});
 }
 
-void Fleet::mark_engine_leaving(int index) {
+void Fleet::mark_engine_draining(int index) {
   OutgoingRequest request;
   request.method = "PUT";
   request.url =
       std::string("http://") + kPlatformAddress + "/machines?name=" + numbered("e", index);
   request.body =
       json{{"kind", "engine"}, {"address", engine_address(index)}, {"state", "leaving"}}.dump();
-  engines_.at(static_cast<std::size_t>(index))->leaving_since = world.now();
+  engines_.at(static_cast<std::size_t>(index))->draining_since = world.now();
   caller_http_->fetch(std::move(request), [](const auto&) {});
 }
 
@@ -413,10 +414,10 @@
     if (entry.order.stamp <= last) return "an engine took an order older than one it held";
     last = entry.order.stamp;
   }
-  if (engine.standin->emulator().cut_by_change() > 0) return "a role change cut a request";
-  if (!engine.leaving_since) return {};
+  if (engine.standin->emulator().interrupted_by_change() > 0) return "a role change cut a request";
+  if (!engine.draining_since) return {};
   for (const Execution& execution : engine.standin->emulator().executions()) {
-    if (execution.started > *engine.leaving_since + kLeavingBound) {
+    if (execution.started > *engine.draining_since + kDrainingGrace) {
       return "a leaving engine got new work";
     }
   }
@@ -424,44 +425,45 @@
 }
 
 std::string Fleet::check_request(const CallerRequest& request) {
-  const std::string right = whole_answer(request.mark, 400);
-  if (right.compare(0, request.text.size(), request.text) != 0) return "a wrong answer";
+  const std::string expected = whole_answer(request.try_id, 400);
+  if (expected.compare(0, request.text.size(), request.text) != 0) return "a wrong answer";
   if (!request.ended) return {};
-  const bool told = request.whole || !request.outcome.empty();
-  if (!told && !request.node_disturbed) return "a request was cut without a word: " + request.mark;
+  const bool reported = request.completed || !request.outcome.empty();
+  if (!reported && !request.node_disturbed)
+    return "a request was cut without a word: " + request.try_id;
   return {};
 }
 
 std::string Fleet::check_runs() {
   std::map<std::string, int> runs_of_try;
-  std::map<std::string, int> runs_of_logical;
+  std::map<std::string, int> runs_of_request;
   for (const auto& engine : engines_) {
     for (const Execution& execution : engine->standin->emulator().executions()) {
-      const std::size_t slash = execution.mark.find('/');
+      const std::size_t slash = execution.user.find('/');
       // A prefill and its decode are two parts of one run and share an attempt.
-      const std::string logical = execution.mark.substr(0, slash);
+      const std::string request_key = execution.user.substr(0, slash);
       const std::string attempt = execution.attempt.value();
-      runs_of_try[execution.mark.substr(slash + 1)] += 1;
-      std::string key = logical;
+      runs_of_try[execution.user.substr(slash + 1)] += 1;
+      std::string key = request_key;
       key += "\n";
       key += attempt;
-      runs_of_logical[key] += 1;
+      runs_of_request[key] += 1;
     }
   }
   std::map<std::string, std::set<std::string>> attempts;
-  for (const auto& [key, count] : runs_of_logical) {
-    const std::size_t split = key.find('\n');
-    attempts[key.substr(0, split)].insert(key.substr(split + 1));
+  for (const auto& [key, count] : runs_of_request) {
+    const std::size_t separator = key.find('\n');
+    attempts[key.substr(0, separator)].insert(key.substr(separator + 1));
   }
   for (const auto& request : requests) {
-    if (request->once && attempts[request->logical].size() > 1) {
-      std::string text = "a request that may run once ran twice: " + request->logical;
-      for (const std::string& attempt : attempts[request->logical])
+    if (request->at_most_once && attempts[request->request_key].size() > 1) {
+      std::string text = "a request that may run once ran twice: " + request->request_key;
+      for (const std::string& attempt : attempts[request->request_key])
         text.append(" ").append(attempt);
       return text;
     }
-    if (request->ended && request->outcome == "not_run" && runs_of_try[request->mark] > 0) {
-      return "a request ran that was called not run: " + request->mark;
+    if (request->ended && request->outcome == "not_run" && runs_of_try[request->try_id] > 0) {
+      return "a request ran that was called not run: " + request->try_id;
     }
   }
   return {};
@@ -480,23 +482,23 @@
 
 std::string Fleet::check() {
   for (const auto& engine : engines_) {
-    if (std::string broken = check_orders(*engine); !broken.empty()) return broken;
+    if (std::string violation = check_orders(*engine); !violation.empty()) return violation;
   }
   for (const auto& request : requests) {
-    if (std::string broken = check_request(*request); !broken.empty()) return broken;
+    if (std::string violation = check_request(*request); !violation.empty()) return violation;
   }
-  if (std::string broken = check_runs(); !broken.empty()) return broken;
+  if (std::string violation = check_runs(); !violation.empty()) return violation;
   return check_revisions();
 }
 
 std::string Fleet::check_settled() {
-  if (std::string broken = check(); !broken.empty()) return broken;
+  if (std::string violation = check(); !violation.empty()) return violation;
   for (const auto& request : requests) {
-    if (!request->ended) return "a request never ended: " + request->mark;
+    if (!request->ended) return "a request never ended: " + request->try_id;
   }
   Revision newest = 0;
   for (const auto& [tenant, revision] : accepted_edits_) newest = std::max(newest, revision);
-  int holders = 0;
+  int lease_holders = 0;
   for (int i = 0; i < settings.nodes; ++i) {
     SimNode& node = *nodes_[static_cast<std::size_t>(i)];
     if (node.node->revision() < newest)
@@ -505,18 +507,18 @@
         json::parse(fetch(node_address(i), "GET", "/v1/config", nullptr).body, nullptr, false);
     if (!document.is_object()) return "a node does not answer operators: " + node.settings.name;
     for (const auto& [tenant, revision] : accepted_edits_) {
-      const bool there =
+      const bool present =
           std::any_of(document["objects"].begin(), document["objects"].end(),
                       [&tenant = tenant](const json& object) {
                         return object["name"] == tenant && !object.contains("removed");
                       });
-      if (!there) return "an accepted change was lost: " + tenant;
+      if (!present) return "an accepted change was lost: " + tenant;
     }
-    const json lines = status(i)["duties"];
-    for (const json& duty : lines) holders += duty.contains("fence") ? 1 : 0;
+    const json duties = status(i)["duties"];
+    for (const json& duty : duties) lease_holders += duty.contains("fence") ? 1 : 0;
   }
-  if (holders != settings.models * settings.regions) {
-    return "holders of leases after a rest: " + std::to_string(holders);
+  if (lease_holders != settings.models * settings.regions) {
+    return "holders of leases after a rest: " + std::to_string(lease_holders);
   }
   return {};
 }
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -32,16 +32,16 @@
 
 /// A request as a caller remembers it.
 struct CallerRequest {
-  std::string mark;     ///< Of this try; in the engines' logs.
-  std::string logical;  ///< The same for all tries of one request that may run only once.
-  bool once = false;
+  std::string try_id;       ///< Of this try; in the engines' logs.
+  std::string request_key;  ///< The same for all tries of one request that may run only once.
+  bool at_most_once = false;
   int node = 0;
   MonotonicTime sent{};
   bool node_disturbed = false;  ///< The node was killed, frozen or cut off since it was sent.
   int status = 0;
   std::string text;
   std::string outcome;  ///< `not_run`, `unknown`, or empty.
-  bool whole = false;
+  bool completed = false;
   bool ended = false;
 };
 
@@ -78,10 +78,10 @@
   void run_for(Duration length) { world.run_until(world.now() + length); }
 
   /// Sends one request of a caller. @param logical empty: repeatable.
-  void ask(int node, std::uint32_t tokens, const std::string& logical);
+  void send_request(int node, std::uint32_t tokens, const std::string& request_key);
 
   /// An operator gives a tenant of that name a weight, through a node.
-  void edit(int node, const std::string& tenant);
+  void edit_tenant(int node, const std::string& tenant);
 
   /// Faults.
   void kill_node(int index);
@@ -94,7 +94,7 @@
   void crash_engine(int index);
   void set_platform_faults(const nlohmann::json& faults);
   void set_engine_faults(int index, const nlohmann::json& faults);
-  void mark_engine_leaving(int index);
+  void mark_engine_draining(int index);
   void heal_all();
 
   /// @return the first promise that is broken now, or empty text.
@@ -135,7 +135,7 @@
   HttpReply fetch(const std::string& address, const std::string& method, const std::string& path,
                   const nlohmann::json& body);
   nlohmann::json declared_edits() const;
-  void disturb(int node);
+  void mark_requests_disturbed(int node);
   std::string check_orders(const SimEngine& engine) const;
   std::string check_request(const CallerRequest& request);
   std::string check_runs();
@@ -145,13 +145,14 @@
   std::unique_ptr<PlatformStandin> platform_;
   std::vector<std::unique_ptr<SimEngine>> engines_;
   std::vector<std::unique_ptr<SimNode>> nodes_;
-  std::vector<std::unique_ptr<SimNode>> graveyard_;  ///< Kept, since events may still name them.
+  std::vector<std::unique_ptr<SimNode>>
+      stopped_nodes_;  ///< Kept, since events may still name them.
   ProcessPointer caller_process_;
   std::unique_ptr<SimulatedHttpClient> caller_http_;
   std::map<std::string, Revision> accepted_edits_;  ///< Tenant to the revision it was accepted at.
-  int edits_ = 0;
-  std::uint64_t boots_ = 0;
-  int asked_ = 0;
+  int edit_count_ = 0;
+  std::uint64_t boot_count_ = 0;
+  int request_count_ = 0;
   std::size_t checked_ended_ = 0;
 };
 
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Wall time of the world's beginning, in milliseconds since the Unix epoch.
-constexpr std::uint64_t kWallStart = 1'790'000'000'000;
+constexpr std::uint64_t kStartUnixMilliseconds = 1'790'000'000'000;
 
 /// @return the processor time of this thread, in seconds.
 double thread_seconds() {
@@ -36,25 +36,25 @@
 
 std::uint64_t Process::unix_milliseconds() const {
   const Duration since_epoch = world_.now().time_since_epoch();
-  return kWallStart + static_cast<std::uint64_t>(since_epoch.count() / 1000);
+  return kStartUnixMilliseconds + static_cast<std::uint64_t>(since_epoch.count() / 1000);
 }
 
 std::unique_ptr<Timer> Process::after(Duration delay, std::function<void()> function) {
   auto alive = std::make_shared<bool>(true);
   auto self = world_.find(address_);
-  world_.at(world_.now() + std::max(delay, Duration(1)),
-            [self, alive, function = std::move(function)] {
-              if (!*alive) return;
-              self->run([alive, function] {
-                if (*alive) function();
-              });
-            });
+  world_.schedule_at(world_.now() + std::max(delay, Duration(1)),
+                     [self, alive, function = std::move(function)] {
+                       if (!*alive) return;
+                       self->run([alive, function] {
+                         if (*alive) function();
+                       });
+                     });
   return std::make_unique<SimulatedTimer>(alive);
 }
 
 void Process::post(std::function<void()> function) {
   auto self = world_.find(address_);
-  world_.at(world_.now(), [self, function = std::move(function)] { self->run(function); });
+  world_.schedule_at(world_.now(), [self, function = std::move(function)] { self->run(function); });
 }
 
 std::string Process::random_hex(std::size_t bytes) {
@@ -85,7 +85,7 @@
 void Process::kill() {
   if (!std::exchange(alive_, false)) return;
   deferred_.clear();
-  for (const auto& handler : std::exchange(death_handlers_, {})) handler();
+  for (const auto& handler : std::exchange(kill_handlers_, {})) handler();
 }
 
 void Process::thaw() {
@@ -111,7 +111,7 @@
   return found == processes_.end() ? nullptr : found->second;
 }
 
-void World::at(MonotonicTime time, std::function<void()> function) {
+void World::schedule_at(MonotonicTime time, std::function<void()> function) {
   events_.push({std::max(time, now_), ++sequence_, std::move(function)});
 }
 
@@ -143,25 +143,25 @@
 }
 
 void World::cut(const std::string& a, const std::string& b) {
-  cuts_.insert(link(a, b));
+  cut_links_.insert(link(a, b));
 }
 void World::heal(const std::string& a, const std::string& b) {
-  cuts_.erase(link(a, b));
+  cut_links_.erase(link(a, b));
 }
 
 bool World::is_cut(const std::string& a, const std::string& b) const {
-  return !cuts_.empty() && cuts_.contains(link(a, b));
+  return !cut_links_.empty() && cut_links_.contains(link(a, b));
 }
 
-Duration World::delay() {
+Duration World::random_delay() {
   const auto range =
-      static_cast<std::uint64_t>((network_.most_delay - network_.least_delay).count() + 1);
-  return network_.least_delay + Duration(static_cast<std::int64_t>(random_() % range));
+      static_cast<std::uint64_t>((network_.max_delay - network_.min_delay).count() + 1);
+  return network_.min_delay + Duration(static_cast<std::int64_t>(random_() % range));
 }
 
 bool World::chance(double probability) {
-  constexpr std::uint64_t kParts = 1'000'000;
-  return static_cast<double>(random_() % kParts) < probability * kParts;
+  constexpr std::uint64_t kResolution = 1'000'000;
+  return static_cast<double>(random_() % kResolution) < probability * kResolution;
 }
 
 /// One request and its reply. Pieces arrive in the order in which they were sent.
@@ -175,23 +175,24 @@
     const std::string address = server_address();
     server_ = world.find(address);
     if (world.is_cut(client_->address(), address)) {
-      return to_client(request_.connect_timeout, [](Exchange& self) {
+      return deliver_to_client(request_.connect_timeout, [](Exchange& self) {
         self.fail(TransferFailure::kNothingSent, "connect timeout");
       });
     }
     if (!server_ || !server_->alive() || !server_->listening) {
-      return to_client(world.delay(), [](Exchange& self) {
+      return deliver_to_client(world.random_delay(), [](Exchange& self) {
         self.fail(TransferFailure::kNothingSent, "connection refused");
       });
     }
-    server_->on_death([weak = weak_from_this()] {
-      if (const auto self = weak.lock()) self->server_died();
+    server_->on_killed([weak = weak_from_this()] {
+      if (const auto self = weak.lock()) self->on_server_killed();
     });
-    client_->on_death([weak = weak_from_this()] {
+    client_->on_killed([weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->close_from_client();
     });
-    world.at(world.now() + world.delay(), [self = shared_from_this()] { self->reach_server(); });
-    watch_silence();
+    world.schedule_at(world.now() + world.random_delay(),
+                      [self = shared_from_this()] { self->deliver_request(); });
+    restart_idle_timer();
     if (request_.total_timeout > Duration::zero()) {
       total_timer_ = client_->after(request_.total_timeout, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) self->time_out();
@@ -203,9 +204,9 @@
   void close_from_client() {
     if (std::exchange(client_closed_, true)) return;
     total_timer_.reset();
-    silence_timer_.reset();
+    idle_timer_.reset();
     World& world = client_->world();
-    world.at(world.now() + world.delay(), [self = shared_from_this()] {
+    world.schedule_at(world.now() + world.random_delay(), [self = shared_from_this()] {
       if (!self->server_) return;
       self->server_->run([self] {
         const auto handler = std::exchange(self->on_closed, nullptr);
@@ -216,21 +217,21 @@
 
   void resume() {
     paused_ = false;
-    while (!waiting_.empty() && !paused_ && !client_closed_) {
-      const auto arrival = std::move(waiting_.front());
-      waiting_.pop_front();
+    while (!paused_arrivals_.empty() && !paused_ && !client_closed_) {
+      const auto arrival = std::move(paused_arrivals_.front());
+      paused_arrivals_.pop_front();
       arrival(*this);
     }
   }
 
   /// Sends something from the server to the client, behind all that was sent before.
-  void to_client_in_order(std::function<void(Exchange&)> arrival) {
+  void send_to_client(std::function<void(Exchange&)> arrival) {
     World& world = client_->world();
     // A connection that a cut interrupted brings nothing more: the client waits until its timeout.
-    lost_ = lost_ || world.is_cut(client_->address(), server_->address());
-    if (lost_ || !server_->alive()) return;
-    last_arrival_ = std::max(last_arrival_, world.now() + world.delay());
-    world.at(last_arrival_, [self = shared_from_this(), arrival = std::move(arrival)] {
+    link_cut_ = link_cut_ || world.is_cut(client_->address(), server_->address());
+    if (link_cut_ || !server_->alive()) return;
+    last_arrival_ = std::max(last_arrival_, world.now() + world.random_delay());
+    world.schedule_at(last_arrival_, [self = shared_from_this(), arrival = std::move(arrival)] {
       self->client_->run([self, arrival] { self->arrive(arrival); });
     });
   }
@@ -242,7 +243,7 @@
   void piece_arrived(const std::string& piece) {
     if (handlers_.on_data(piece)) return;
     paused_ = true;
-    waiting_.push_front([piece](Exchange& self) { self.piece_arrived(piece); });
+    paused_arrivals_.push_front([piece](Exchange& self) { self.piece_arrived(piece); });
   }
 
   void finished() { end({}); }
@@ -264,37 +265,38 @@
     HttpRequest request;
     const std::string rest = request_.url.substr(std::string("http://").size());
     const std::string target = rest.substr(rest.find('/'));
-    const std::size_t mark = std::min(target.find('?'), target.size());
+    const std::size_t query_start = std::min(target.find('?'), target.size());
     request.method = request_.method;
-    request.path = target.substr(0, mark);
-    request.query = mark < target.size() ? target.substr(mark + 1) : "";
+    request.path = target.substr(0, query_start);
+    request.query = query_start < target.size() ? target.substr(query_start + 1) : "";
     request.headers = request_.headers;
     request.body = request_.body;
     return request;
   }
 
-  void reach_server();
+  void deliver_request();
 
-  void to_client(Duration delay, std::function<void(Exchange&)> arrival) {
+  void deliver_to_client(Duration delay, std::function<void(Exchange&)> arrival) {
     World& world = client_->world();
-    world.at(world.now() + delay, [self = shared_from_this(), arrival = std::move(arrival)] {
-      self->client_->run([self, arrival] { self->arrive(arrival); });
-    });
+    world.schedule_at(world.now() + delay,
+                      [self = shared_from_this(), arrival = std::move(arrival)] {
+                        self->client_->run([self, arrival] { self->arrive(arrival); });
+                      });
   }
 
   void arrive(const std::function<void(Exchange&)>& arrival) {
     if (client_closed_) return;
     if (paused_) {
-      waiting_.push_back(arrival);
+      paused_arrivals_.push_back(arrival);
       return;
     }
-    watch_silence();
+    restart_idle_timer();
     arrival(*this);
   }
 
-  void watch_silence() {
+  void restart_idle_timer() {
     if (request_.idle_timeout == Duration::zero()) return;
-    silence_timer_ = client_->after(request_.idle_timeout, [weak = weak_from_this()] {
+    idle_timer_ = client_->after(request_.idle_timeout, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->time_out();
     });
   }
@@ -304,12 +306,13 @@
     fail(TransferFailure::kUncertain, "timeout");
   }
 
-  void server_died() {
+  void on_server_killed() {
     // What was sent before still arrives first, as the kernel would see to it.
     World& world = client_->world();
-    last_arrival_ = std::max(last_arrival_, world.now() + world.delay());
-    to_client(last_arrival_ - world.now(),
-              [](Exchange& self) { self.fail(TransferFailure::kUncertain, "connection reset"); });
+    last_arrival_ = std::max(last_arrival_, world.now() + world.random_delay());
+    deliver_to_client(last_arrival_ - world.now(), [](Exchange& self) {
+      self.fail(TransferFailure::kUncertain, "connection reset");
+    });
   }
 
   void end(const tl::expected<void, TransferError>& result) {
@@ -324,12 +327,12 @@
   OutgoingRequest request_;
   TransferHandlers handlers_;
   MonotonicTime last_arrival_{};
-  std::deque<std::function<void(Exchange&)>> waiting_;  ///< Arrived while paused.
+  std::deque<std::function<void(Exchange&)>> paused_arrivals_;  ///< Arrived while paused.
   bool paused_ = false;
-  bool lost_ = false;
+  bool link_cut_ = false;
   bool client_closed_ = false;
   std::unique_ptr<Timer> total_timer_;
-  std::unique_ptr<Timer> silence_timer_;
+  std::unique_ptr<Timer> idle_timer_;
 };
 
 /// The server's end of an exchange.
@@ -338,7 +341,7 @@
   explicit Responder(std::shared_ptr<Exchange> exchange) : exchange_(std::move(exchange)) {}
   ~Responder() override {
     if (ended_) return;
-    if (begun_) {
+    if (stream_started_) {
       finish();
     } else {
       respond({500, {}, ""});
@@ -350,7 +353,7 @@
   void respond(HttpReply reply) override {
     if (std::exchange(ended_, true)) return;
     exchange_->on_closed = nullptr;
-    exchange_->to_client_in_order([reply = std::move(reply)](Exchange& exchange) {
+    exchange_->send_to_client([reply = std::move(reply)](Exchange& exchange) {
       exchange.headers_arrived(reply.status, reply.headers);
       if (!reply.body.empty()) exchange.piece_arrived(reply.body);
       exchange.finished();
@@ -358,14 +361,14 @@
   }
 
   void begin_stream(int status, const HttpHeaders& headers) override {
-    begun_ = true;
-    exchange_->to_client_in_order(
+    stream_started_ = true;
+    exchange_->send_to_client(
         [status, headers](Exchange& exchange) { exchange.headers_arrived(status, headers); });
   }
 
   void write(std::string_view piece) override {
     if (ended_) return;
-    exchange_->to_client_in_order(
+    exchange_->send_to_client(
         [piece = std::string(piece)](Exchange& exchange) { exchange.piece_arrived(piece); });
   }
 
@@ -375,7 +378,7 @@
   void finish() override {
     if (std::exchange(ended_, true)) return;
     exchange_->on_closed = nullptr;
-    exchange_->to_client_in_order([](Exchange& exchange) { exchange.finished(); });
+    exchange_->send_to_client([](Exchange& exchange) { exchange.finished(); });
   }
 
   void on_closed(std::function<void()> handler) override {
@@ -387,11 +390,11 @@
 
  private:
   std::shared_ptr<Exchange> exchange_;
-  bool begun_ = false;
+  bool stream_started_ = false;
   bool ended_ = false;
 };
 
-void SimulatedHttpClient::Exchange::reach_server() {
+void SimulatedHttpClient::Exchange::deliver_request() {
   if (client_->world().is_cut(client_->address(), server_->address())) return;
   server_->run([self = shared_from_this()] {
     self->server_->http_handler(self->received_request(), std::make_shared<Responder>(self));
@@ -399,7 +402,7 @@
 }
 
 SimulatedHttpClient::~SimulatedHttpClient() {
-  for (const auto& [id, exchange] : open_) {
+  for (const auto& [id, exchange] : open_exchanges_) {
     exchange->on_ended = nullptr;
     exchange->close_from_client();
   }
@@ -408,23 +411,23 @@
 TransferId SimulatedHttpClient::start(OutgoingRequest request, TransferHandlers handlers) {
   const TransferId id = ++last_id_;
   auto exchange = std::make_shared<Exchange>(process_, std::move(request), std::move(handlers));
-  open_[id] = exchange;
-  exchange->on_ended = [this, id] { open_.erase(id); };
+  open_exchanges_[id] = exchange;
+  exchange->on_ended = [this, id] { open_exchanges_.erase(id); };
   exchange->begin();
   return id;
 }
 
 void SimulatedHttpClient::cancel(TransferId id) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return;
+  const auto found = open_exchanges_.find(id);
+  if (found == open_exchanges_.end()) return;
   const auto exchange = found->second;
-  open_.erase(found);
+  open_exchanges_.erase(found);
   exchange->close_from_client();
 }
 
 void SimulatedHttpClient::resume(TransferId id) {
-  const auto found = open_.find(id);
-  if (found != open_.end()) found->second->resume();
+  const auto found = open_exchanges_.find(id);
+  if (found != open_exchanges_.end()) found->second->resume();
 }
 
 void SimulatedTransport::set_handlers(DatagramHandler on_datagram, CallHandler on_call) {
@@ -436,17 +439,18 @@
   World& world = process_->world();
   process_->datagram_bytes_sent += text.size();
   ++process_->messages_sent;
-  const int copies = world.chance(world.network().datagram_doubling) ? 2 : 1;
+  const int copies = world.chance(world.network().datagram_duplication) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     if (world.is_cut(process_->address(), address)) continue;
     if (world.chance(world.network().datagram_loss)) continue;
-    world.at(world.now() + world.delay(), [&world, address, sender = process_->address(),
-                                           message = std::string(text)] {
-      const auto target = world.find(address);
-      if (!target || !target->datagram_handler) return;
-      target->datagram_bytes_received += message.size();
-      target->run([target, message, sender] { target->datagram_handler(message, sender); });
-    });
+    world.schedule_at(
+        world.now() + world.random_delay(),
+        [&world, address, sender = process_->address(), message = std::string(text)] {
+          const auto target = world.find(address);
+          if (!target || !target->datagram_handler) return;
+          target->datagram_bytes_received += message.size();
+          target->run([target, message, sender] { target->datagram_handler(message, sender); });
+        });
   }
 }
 
@@ -464,21 +468,22 @@
       call_once(result);
     });
   };
-  world.at(world.now() + timeout,
-           [finish] { finish(tl::make_unexpected(std::string("timeout"))); });
-  const std::string own = process_->address();
-  world.at(world.now() + world.delay(), [&world, address, own, finish, text = std::move(text)] {
-    if (world.is_cut(own, address)) return;
+  world.schedule_at(world.now() + timeout,
+                    [finish] { finish(tl::make_unexpected(std::string("timeout"))); });
+  const std::string own_address = process_->address();
+  world.schedule_at(world.now() + world.random_delay(), [&world, address, own_address, finish,
+                                                         text = std::move(text)] {
+    if (world.is_cut(own_address, address)) return;
     const auto target = world.find(address);
     if (!target || !target->alive() || !target->call_handler) {
       return finish(tl::make_unexpected(std::string("refused")));
     }
     target->call_bytes_received += text.size();
-    target->run([&world, target, own, finish, text] {
-      target->call_handler(text, [&world, target, own, finish](const std::string& answer) {
-        if (world.is_cut(own, target->address())) return;
+    target->run([&world, target, own_address, finish, text] {
+      target->call_handler(text, [&world, target, own_address, finish](const std::string& answer) {
+        if (world.is_cut(own_address, target->address())) return;
         target->call_bytes_sent += answer.size();
-        world.at(world.now() + world.delay(), [finish, answer] {
+        world.schedule_at(world.now() + world.random_delay(), [finish, answer] {
           if (answer.empty()) return finish(tl::make_unexpected(std::string("no answer")));
           finish(answer);
         });
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -24,10 +24,10 @@
 
 /// Behaviour of the network.
 struct NetworkSettings {
-  Duration least_delay = std::chrono::microseconds(200);
-  Duration most_delay = std::chrono::milliseconds(2);
+  Duration min_delay = std::chrono::microseconds(200);
+  Duration max_delay = std::chrono::milliseconds(2);
   double datagram_loss = 0.01;
-  double datagram_doubling = 0.01;
+  double datagram_duplication = 0.01;
 };
 
 class World;
@@ -57,7 +57,7 @@
   World& world() { return world_; }
 
   /// Sets what is called when the process dies, so that its connections break.
-  void on_death(std::function<void()> handler) { death_handlers_.push_back(std::move(handler)); }
+  void on_killed(std::function<void()> handler) { kill_handlers_.push_back(std::move(handler)); }
 
   /// Whether new connections of callers are taken.
   bool listening = true;
@@ -85,7 +85,7 @@
   bool frozen_ = false;
   bool running_ = false;
   std::deque<std::function<void()>> deferred_;
-  std::vector<std::function<void()>> death_handlers_;
+  std::vector<std::function<void()>> kill_handlers_;
 };
 
 using ProcessPointer = std::shared_ptr<Process>;
@@ -102,7 +102,7 @@
   ProcessPointer find(const std::string& address) const;
 
   /// Calls `function` at a time of the world, in no process.
-  void at(MonotonicTime time, std::function<void()> function);
+  void schedule_at(MonotonicTime time, std::function<void()> function);
 
   /// Runs all that happens until `end`.
   void run_until(MonotonicTime end);
@@ -116,11 +116,11 @@
   /// Cuts or heals both directions between two addresses.
   void cut(const std::string& a, const std::string& b);
   void heal(const std::string& a, const std::string& b);
-  void heal_all() { cuts_.clear(); }
+  void heal_all() { cut_links_.clear(); }
   bool is_cut(const std::string& a, const std::string& b) const;
 
   MonotonicTime now() const { return now_; }
-  Duration delay();
+  Duration random_delay();
   bool chance(double probability);
   std::mt19937_64& random() { return random_; }
   const NetworkSettings& network() const { return network_; }
@@ -142,7 +142,7 @@
   std::uint64_t sequence_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::map<std::string, ProcessPointer> processes_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> cut_links_;
   std::mt19937_64 random_;
   NetworkSettings network_;
 };
@@ -165,7 +165,7 @@
 
   ProcessPointer process_;
   TransferId last_id_ = 0;
-  std::map<TransferId, std::shared_ptr<Exchange>> open_;
+  std::map<TransferId, std::shared_ptr<Exchange>> open_exchanges_;
 };
 
 /// Messages between simulated nodes.
--- a/src/standin/engine_emulator.hpp
+++ b/src/standin/engine_emulator.hpp
@@ -48,7 +48,7 @@
 struct EngineJob {
   RequestId request;
   AttemptId attempt;
-  std::string mark;  ///< The caller's `user` field, by which tests find a request again.
+  std::string user;  ///< The caller's `user` field, by which tests find a request again.
   JobPart part = JobPart::kWhole;
   std::string model;  ///< With `:adapter` where one is asked for; empty for a plain service.
   std::uint64_t prompt_tokens = 1;
@@ -59,14 +59,14 @@
 };
 
 /// Whether a job was taken.
-enum class SubmitResult { kAccepted, kNotAccepting, kChanging, kUnknownModel, kFull };
+enum class SubmitResult { kAccepted, kNotAccepting, kChangeInProgress, kUnknownModel, kQueueFull };
 
 /// @return the name of `result` in the engine's error replies.
 const char* to_text(SubmitResult result);
 
 /// Something that happened to a job.
 struct EngineEvent {
-  enum class Kind { kToken, kPrefilled, kFinished, kCut };
+  enum class Kind { kToken, kPrefilled, kFinished, kInterrupted };
   Kind kind = Kind::kToken;
   AttemptId attempt;
   std::uint32_t index = 0;  ///< Of the token.
@@ -74,10 +74,10 @@
 
 /// One line of the execution log: ground truth for tests.
 struct Execution {
-  enum class End { kRunning, kFinished, kCancelled, kCut };
+  enum class End { kRunning, kFinished, kCancelled, kInterrupted };
   RequestId request;
   AttemptId attempt;
-  std::string mark;
+  std::string user;
   MonotonicTime started{};
   MonotonicTime ended{};
   End end = End::kRunning;
@@ -131,46 +131,46 @@
   const std::deque<CacheEvent>& cache_events() const { return cache_events_; }
 
   /// @return jobs that a change of role or models cut. A correct controller causes none.
-  std::uint64_t cut_by_change() const { return cut_by_change_; }
+  std::uint64_t interrupted_by_change() const { return interrupted_by_change_; }
 
   /// @return changes of role that were completed.
   std::uint64_t role_changes() const { return role_changes_; }
 
  private:
-  struct Running {
+  struct ActiveJob {
     EngineJob job;
-    std::size_t execution = 0;  ///< Index in the log.
-    double prefill_left = 0;    ///< Tokens.
+    std::size_t execution = 0;       ///< Index in the log.
+    double prefill_tokens_left = 0;  ///< Tokens.
     std::uint32_t next_index = 0;
-    MonotonicTime importing_until{};
+    MonotonicTime import_ends_at{};
   };
 
-  bool holds_model(const std::string& name) const;
+  bool serves_model(const std::string& name) const;
   void begin_step(MonotonicTime now);
   void end_step(std::vector<EngineEvent>& events);
-  void finish_prefill(Running& running, std::vector<EngineEvent>& events);
+  void finish_prefill(ActiveJob& active_job, std::vector<EngineEvent>& events);
   void end_job(const AttemptId& attempt, MonotonicTime now, Execution::End end);
-  void cut_all(MonotonicTime now, std::vector<EngineEvent>& events);
+  void interrupt_all(MonotonicTime now, std::vector<EngineEvent>& events);
   void start_change(MonotonicTime now, const DesiredState& desired);
-  void note_cached(MonotonicTime now, const std::vector<std::uint64_t>& blocks);
-  double chunk_tokens() const;
+  void record_cached(MonotonicTime now, const std::vector<std::uint64_t>& blocks);
+  double max_chunk_tokens() const;
 
   EngineCosts costs_;
   std::vector<ModelSpec> preloaded_;
   OrderGate gate_;
-  DesiredState in_force_;
-  std::optional<MonotonicTime> change_ends_;
+  DesiredState active_state_;
+  std::optional<MonotonicTime> change_ends_at_;
   std::vector<EngineEvent> pending_events_;
-  std::deque<Running> waiting_;    ///< Prefill to do or KV cache to import.
-  std::vector<Running> decoding_;  ///< In the batch.
-  std::optional<MonotonicTime> step_ends_;
-  double step_prefill_ = 0;
+  std::deque<ActiveJob> waiting_;    ///< Prefill to do or KV cache to import.
+  std::vector<ActiveJob> decoding_;  ///< In the batch.
+  std::optional<MonotonicTime> step_ends_at_;
+  double step_prefill_tokens_ = 0;
   PrefixCache cache_;
   std::deque<CacheEvent> cache_events_;
   std::uint64_t last_cache_event_ = 0;
   std::vector<Execution> executions_;
   std::vector<OrderHistoryEntry> order_history_;
-  std::uint64_t cut_by_change_ = 0;
+  std::uint64_t interrupted_by_change_ = 0;
   std::uint64_t role_changes_ = 0;
 };
 
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -15,13 +15,13 @@
 
 using nlohmann::json;
 
-constexpr Duration kLoadSampleEvery = std::chrono::milliseconds(50);
+constexpr Duration kLoadSampleInterval = std::chrono::milliseconds(50);
 
 HttpReply json_reply(int status, const json& body) {
   return {status, {{"Content-Type", "application/json"}}, body.dump()};
 }
 
-std::uint32_t read_number(std::string_view text) {
+std::uint32_t parse_number(std::string_view text) {
   std::uint32_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -38,7 +38,7 @@
   JobPart part = JobPart::kWhole;
   Responder responder;
   std::string collected;  ///< Text so far, when the reply is not streamed.
-  bool stream_begun = false;
+  bool stream_started = false;
 };
 
 EngineStandin::EngineStandin(Runtime& runtime, const EngineStandinSettings& settings)
@@ -59,13 +59,13 @@
 void EngineStandin::sample_load() {
   const LoadReport sample = emulator_.load();
   call_after(runtime_, settings_.load_lag, [this, sample, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) lagging_load_ = sample;
+    if (!alive.expired()) reported_load_ = sample;
   });
-  load_timer_ = runtime_.after(kLoadSampleEvery, [this] { sample_load(); });
+  load_timer_ = runtime_.after(kLoadSampleInterval, [this] { sample_load(); });
 }
 
 std::string EngineStandin::load_header() const {
-  return engine_api::to_header(lagging_load_);
+  return engine_api::to_header(reported_load_);
 }
 
 void EngineStandin::handle(const HttpRequest& request, const Responder& responder) {
@@ -99,7 +99,7 @@
     return responder->respond(json_reply(200, executions_json()));
   }
   if (request.path == engine_api::kCacheEventsPath) {
-    const std::uint64_t after = read_number(request.query_value("after"));
+    const std::uint64_t after = parse_number(request.query_value("after"));
     return responder->respond(json_reply(200, cache_events_json(after)));
   }
   if (request.path == engine_api::kClaimPath && body.is_object() && body.contains("fence")) {
@@ -171,7 +171,7 @@
   job.request = answer->request;
   job.attempt = answer->attempt;
   job.model = answer->facts.model;
-  job.mark = body.value("user", "");
+  job.user = body.value("user", "");
   job.prompt_tokens = answer->facts.prompt_tokens;
   job.blocks = prefix_blocks(answer->facts.text);
   job.output_tokens = answer->facts.max_output_tokens;
@@ -229,10 +229,10 @@
     case EngineEvent::Kind::kFinished:
       answers_.erase(event.attempt);
       return finish(*answer);
-    case EngineEvent::Kind::kCut:
+    case EngineEvent::Kind::kInterrupted:
       answers_.erase(event.attempt);
       // A stream without its end marker, or an error without a word on the outcome.
-      if (answer->stream_begun) return answer->responder->finish();
+      if (answer->stream_started) return answer->responder->finish();
       return answer->responder->respond(json_reply(500, {{"error", "cut"}}));
   }
 }
@@ -262,7 +262,7 @@
     answer.collected += text;
     return;
   }
-  if (!std::exchange(answer.stream_begun, true)) {
+  if (!std::exchange(answer.stream_started, true)) {
     answer.responder->begin_stream(200, {{"Content-Type", "text/event-stream"},
                                          {engine_api::kAttemptIdHeader, answer.attempt.value()},
                                          {engine_api::kLoadHeader, load_header()}});
@@ -289,17 +289,17 @@
                             "\ndata: [DONE]\n\n");
     return answer.responder->finish();
   }
-  json whole = chunk_json(answer.kind, answer.request, answer.facts.model);
+  json completion_json = chunk_json(answer.kind, answer.request, answer.facts.model);
   json choice{{"index", 0}, {"finish_reason", "length"}};
   if (answer.kind == CompletionKind::kChat) {
-    whole["object"] = "chat.completion";
+    completion_json["object"] = "chat.completion";
     choice["message"] = {{"role", "assistant"}, {"content", answer.collected}};
   } else {
     choice["text"] = answer.collected;
   }
-  whole["choices"] = json::array({choice});
-  whole["usage"] = usage;
-  HttpReply reply = json_reply(200, whole);
+  completion_json["choices"] = json::array({choice});
+  completion_json["usage"] = usage;
+  HttpReply reply = json_reply(200, completion_json);
   reply.headers.add(engine_api::kAttemptIdHeader, answer.attempt.value());
   reply.headers.add(engine_api::kLoadHeader, load_header());
   answer.responder->respond(std::move(reply));
@@ -337,7 +337,7 @@
   }
   return {{"executions", std::move(list)},
           {"orders", std::move(orders)},
-          {"cut_by_change", emulator_.cut_by_change()},
+          {"cut_by_change", emulator_.interrupted_by_change()},
           {"role_changes", emulator_.role_changes()}};
 }
 
--- a/src/standin/engine_standin.hpp
+++ b/src/standin/engine_standin.hpp
@@ -84,7 +84,7 @@
   std::map<AttemptId, std::shared_ptr<Answer>> answers_;
   std::unique_ptr<Timer> timer_;
   std::unique_ptr<Timer> load_timer_;
-  LoadReport lagging_load_;
+  LoadReport reported_load_;
 };
 
 }  // namespace shuntbank
--- a/src/standin/platform_standin.cpp
+++ b/src/standin/platform_standin.cpp
@@ -16,7 +16,7 @@
   return {status, {{"Content-Type", "application/json"}}, body.dump()};
 }
 
-std::uint64_t read_number(const std::string& text) {
+std::uint64_t parse_number(const std::string& text) {
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -31,8 +31,8 @@
 
 void PlatformStandin::handle(HttpRequest request, const Responder& responder) {
   if (request.path == "/faults") return handle_faults(request, responder);
-  if (request.path == "/stats") return responder->respond(json_reply(200, counts_));
-  ++counts_[request.method + " " + request.path];
+  if (request.path == "/stats") return responder->respond(json_reply(200, request_counts_));
+  ++request_counts_[request.method + " " + request.path];
   if (faults_.down) return responder->respond(json_reply(503, {{"error", "down"}}));
   if (faults_.delay == Duration::zero()) return dispatch(request, responder);
   call_after(runtime_, faults_.delay,
@@ -90,13 +90,14 @@
 
 void PlatformStandin::handle_watch(const HttpRequest& request, const Responder& responder) {
   const std::string key = request.query_value("key");
-  const std::uint64_t from = read_number(request.query_value("from"));
+  const std::uint64_t known_version = parse_number(request.query_value("from"));
   const auto found = objects_.find(key);
-  if (found != objects_.end() && found->second.version > from) return reply_object(key, responder);
+  if (found != objects_.end() && found->second.version > known_version)
+    return reply_object(key, responder);
   if (watches_.size() >= settings_.max_watches) {
     return responder->respond(json_reply(429, {{"error", "too many readers"}}));
   }
-  watches_.push_back({key, from, responder, nullptr});
+  watches_.push_back({key, known_version, responder, nullptr});
   const auto watch = std::prev(watches_.end());
   watch->timer = runtime_.after(ObjectClient::kWatchTime, [this, watch, key] {
     // The timer goes with the watch, so it is kept to the end of its own call.
--- a/src/standin/platform_standin.hpp
+++ b/src/standin/platform_standin.hpp
@@ -50,7 +50,7 @@
   };
   struct Watch {
     std::string key;
-    std::uint64_t from = 0;
+    std::uint64_t known_version = 0;
     Responder responder;
     std::unique_ptr<Timer> timer;
   };
@@ -76,7 +76,7 @@
   nlohmann::json published_machines_ = nlohmann::json::object();  ///< What readers see.
   double weight_tokens_ = 0;
   MonotonicTime weight_filled_at_;
-  std::map<std::string, std::uint64_t> counts_;  ///< Requests by method and path.
+  std::map<std::string, std::uint64_t> request_counts_;  ///< Requests by method and path.
 };
 
 }  // namespace shuntbank
--- a/tests/core/roles/engine_controller_test.cpp
+++ b/tests/core/roles/engine_controller_test.cpp
@@ -85,7 +85,7 @@
   cr_assert_eq(engine.state().role, EngineRole::kMixed);
   site.run(15s);
   cr_assert_eq(engine.state().role, EngineRole::kPrefill);
-  cr_assert_eq(engine.cut_by_change(), 0);
+  cr_assert_eq(engine.interrupted_by_change(), 0);
 }
 
 Test(engine_controller, puts_off_a_change_whose_drain_takes_too_long) {
@@ -98,7 +98,7 @@
   cr_assert_eq(site.controller.put_off(), 1);
   cr_assert(engine.state().desired.accepting);
   cr_assert_eq(engine.submit(site.now, site.job(2, 5)), SubmitResult::kAccepted);
-  cr_assert_eq(engine.cut_by_change(), 0);
+  cr_assert_eq(engine.interrupted_by_change(), 0);
 }
 
 Test(engine_controller, takes_up_the_drain_of_a_holder_that_died) {
@@ -178,7 +178,7 @@
       RC_ASSERT(site.engines.at(engine).state().role == role);
     }
     for (const auto& [name, engine] : site.engines) {
-      RC_ASSERT(engine.cut_by_change() == 0U);
+      RC_ASSERT(engine.interrupted_by_change() == 0U);
       RC_ASSERT(engine.state().desired.accepting);
     }
   });
--- a/tests/simulation/schedule_test.cpp
+++ b/tests/simulation/schedule_test.cpp
@@ -8,30 +8,30 @@
 using namespace shuntbank;
 using namespace shuntbank::simulation;
 
-Test(schedule, promises_hold_over_a_fixed_range_of_seeds) {
+Test(schedule, invariants_hold_over_a_fixed_range_of_seeds) {
   cr_assert(set_log_levels("off").has_value());
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     const ScheduleResult result = run_schedule(seed);
-    cr_assert(result.broken.empty(), "seed %lu: %s", seed, result.broken.c_str());
-    cr_assert_gt(result.whole, 0);
+    cr_assert(result.violation.empty(), "seed %lu: %s", seed, result.violation.c_str());
+    cr_assert_gt(result.completed, 0);
   }
 }
 
-Test(schedule, the_same_seed_gives_the_same_course) {
+Test(schedule, the_same_seed_gives_the_same_events) {
   cr_assert(set_log_levels("off").has_value());
   const ScheduleResult first = run_schedule(77);
   const ScheduleResult second = run_schedule(77);
   cr_assert(first.events == second.events);
-  cr_assert_eq(first.whole, second.whole);
+  cr_assert_eq(first.completed, second.completed);
 }
 
 // Seeds of the first long runs that broke a promise; their causes are in the commits.
-Test(schedule, seeds_that_once_broke_a_promise_hold) {
+Test(schedule, invariants_hold_for_seeds_that_failed_before) {
   cr_assert(set_log_levels("off").has_value());
   for (const std::uint64_t seed :
        {105, 133, 182, 187, 194, 197, 223, 638, 1181, 1192, 1196, 1999}) {
     const ScheduleResult result = run_schedule(seed);
-    cr_assert(result.broken.empty(), "seed %lu: %s", seed, result.broken.c_str());
+    cr_assert(result.violation.empty(), "seed %lu: %s", seed, result.violation.c_str());
   }
 }
 
@@ -44,7 +44,7 @@
   settings.engines = 6;
   Fleet fleet(settings);
   fleet.configure();
-  fleet.edit(0, "everywhere");
+  fleet.edit_tenant(0, "everywhere");
   fleet.run_for(std::chrono::seconds(14));
   cr_assert_eq(fleet.check_settled(), "", "%s", fleet.check_settled().c_str());
 }
--- a/tests/standin/engine_emulator_test.cpp
+++ b/tests/standin/engine_emulator_test.cpp
@@ -28,12 +28,12 @@
     std::map<AttemptId, EngineJob> jobs;
     const int count = *rc::gen::inRange(1, 30);
     for (int i = 0; i < count; ++i) {
-      EngineJob one =
+      EngineJob submitted =
           job("r" + std::to_string(i), *rc::gen::inRange(1, 3000), *rc::gen::inRange(1, 40));
-      one.resume_from = *rc::gen::inRange<std::uint32_t>(0, one.output_tokens);
-      next[one.attempt] = one.resume_from;
-      jobs[one.attempt] = one;
-      RC_ASSERT(engine.submit({}, one) == SubmitResult::kAccepted);
+      submitted.resume_from = *rc::gen::inRange<std::uint32_t>(0, submitted.output_tokens);
+      next[submitted.attempt] = submitted.resume_from;
+      jobs[submitted.attempt] = submitted;
+      RC_ASSERT(engine.submit({}, submitted) == SubmitResult::kAccepted);
     }
     int finished = 0;
     for (MonotonicTime now{}; now < MonotonicTime{} + 60s; now += 10ms) {
@@ -44,23 +44,25 @@
       }
     }
     RC_ASSERT(finished == count);
-    for (const auto& [attempt, one] : jobs) RC_ASSERT(next[attempt] == one.output_tokens);
+    for (const auto& [attempt, submitted] : jobs)
+      RC_ASSERT(next[attempt] == submitted.output_tokens);
   });
 }
 
 Test(engine_emulator, a_cached_prefix_makes_prefill_shorter) {
-  const auto first_token = [](EngineEmulator& engine, const EngineJob& one, MonotonicTime start) {
-    engine.submit(start, one);
+  const auto first_token = [](EngineEmulator& engine, const EngineJob& submitted,
+                              MonotonicTime start) {
+    engine.submit(start, submitted);
     for (MonotonicTime now = start;; now += 1ms) {
       if (!engine.advance(now).empty()) return now - start;
     }
   };
   EngineEmulator engine(EngineCosts{}, kModels);
-  EngineJob one = job("a", 4000, 1);
-  one.blocks = prefix_blocks(std::string(16'000, 'x'));
-  const Duration cold = first_token(engine, one, {});
-  one.attempt = AttemptId("b.1");
-  const Duration warm = first_token(engine, one, MonotonicTime{} + 10s);
+  EngineJob submitted = job("a", 4000, 1);
+  submitted.blocks = prefix_blocks(std::string(16'000, 'x'));
+  const Duration cold = first_token(engine, submitted, {});
+  submitted.attempt = AttemptId("b.1");
+  const Duration warm = first_token(engine, submitted, MonotonicTime{} + 10s);
   cr_assert_lt(warm.count() * 5, cold.count());
 }
 
@@ -71,7 +73,7 @@
   engine.restart(MonotonicTime{} + 100ms);
   cr_assert_eq(engine.state().stamp.fence, 0);
   cr_assert_eq(engine.state().active, 0);
-  cr_assert_eq(engine.executions()[0].end, Execution::End::kCut);
+  cr_assert_eq(engine.executions()[0].end, Execution::End::kInterrupted);
 }
 
 Test(engine_emulator, refuses_what_it_cannot_run) {
@@ -81,7 +83,7 @@
   cr_assert_eq(engine.submit({}, other), SubmitResult::kUnknownModel);
   engine.claim(1);
   engine.order({}, {{1, 1}, {EngineRole::kDecode, kModels, true}});
-  cr_assert_eq(engine.submit({}, job("b", 10, 1)), SubmitResult::kChanging);
+  cr_assert_eq(engine.submit({}, job("b", 10, 1)), SubmitResult::kChangeInProgress);
   engine.advance(MonotonicTime{} + 5s);
   cr_assert_eq(engine.submit(MonotonicTime{} + 5s, job("b", 10, 1)), SubmitResult::kAccepted);
 }
