--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -17,10 +17,11 @@
 constexpr const char* kCallerAddress = "10.0.0.2:1";
 constexpr const char* kKey = "sb-simulated";
 
-/// New work may reach a leaving engine for this long: the list's lag and a node's interval.
+/// New work may reach a draining engine for this long: machine list lag plus a node's poll
+/// interval.
 constexpr Duration kDrainingGrace = std::chrono::seconds(8);
 
-/// Longer than any simulated request can be on its way.
+/// Longer than any simulated request stays in flight.
 constexpr Duration kClaimRetention = std::chrono::minutes(3);
 
 std::string numbered(const char* name, int index) {
@@ -29,7 +30,7 @@
 
 }  // namespace
 
-/// A node and its surroundings.
+/// A node with its process and transports.
 struct Fleet::SimNode {
   NodeSettings settings;
   ProcessPointer process;
@@ -41,7 +42,7 @@
   bool has_left = false;
 };
 
-/// An engine and what is known of it from outside.
+/// An engine stand-in and its process.
 struct Fleet::SimEngine {
   ProcessPointer process;
   std::unique_ptr<EngineStandin> standin;
@@ -411,14 +412,15 @@
   OrderStamp last;
   for (const OrderHistoryEntry& entry : engine.standin->emulator().order_history()) {
     if (entry.verdict != OrderVerdict::kAccepted) continue;
-    if (entry.order.stamp <= last) return "an engine took an order older than one it held";
+    if (entry.order.stamp <= last) return "an engine accepted an order not newer than its last";
     last = entry.order.stamp;
   }
-  if (engine.standin->emulator().interrupted_by_change() > 0) return "a role change cut a request";
+  if (engine.standin->emulator().interrupted_by_change() > 0)
+    return "a role change interrupted a request";
   if (!engine.draining_since) return {};
   for (const Execution& execution : engine.standin->emulator().executions()) {
     if (execution.started > *engine.draining_since + kDrainingGrace) {
-      return "a leaving engine got new work";
+      return "a draining engine got new work";
     }
   }
   return {};
@@ -430,7 +432,7 @@
   if (!request.ended) return {};
   const bool reported = request.completed || !request.outcome.empty();
   if (!reported && !request.node_disturbed)
-    return "a request was cut without a word: " + request.try_id;
+    return "a request ended without an outcome: " + request.try_id;
   return {};
 }
 
@@ -440,7 +442,7 @@
   for (const auto& engine : engines_) {
     for (const Execution& execution : engine->standin->emulator().executions()) {
       const std::size_t slash = execution.user.find('/');
-      // A prefill and its decode are two parts of one run and share an attempt.
+      // Prefill and decode of one run share an attempt.
       const std::string request_key = execution.user.substr(0, slash);
       const std::string attempt = execution.attempt.value();
       runs_of_try[execution.user.substr(slash + 1)] += 1;
@@ -457,13 +459,13 @@
   }
   for (const auto& request : requests) {
     if (request->at_most_once && attempts[request->request_key].size() > 1) {
-      std::string text = "a request that may run once ran twice: " + request->request_key;
+      std::string text = "an at-most-once request ran twice: " + request->request_key;
       for (const std::string& attempt : attempts[request->request_key])
         text.append(" ").append(attempt);
       return text;
     }
     if (request->ended && request->outcome == "not_run" && runs_of_try[request->try_id] > 0) {
-      return "a request ran that was called not run: " + request->try_id;
+      return "a request reported as not run was run: " + request->try_id;
     }
   }
   return {};
@@ -502,7 +504,7 @@
   for (int i = 0; i < settings.nodes; ++i) {
     SimNode& node = *nodes_[static_cast<std::size_t>(i)];
     if (node.node->revision() < newest)
-      return "an accepted change is not in force on " + node.settings.name;
+      return "an accepted change is not active on " + node.settings.name;
     const json document =
         json::parse(fetch(node_address(i), "GET", "/v1/config", nullptr).body, nullptr, false);
     if (!document.is_object()) return "a node does not answer operators: " + node.settings.name;
@@ -518,7 +520,7 @@
     for (const json& duty : duties) lease_holders += duty.contains("fence") ? 1 : 0;
   }
   if (lease_holders != settings.models * settings.regions) {
-    return "holders of leases after a rest: " + std::to_string(lease_holders);
+    return "unexpected number of lease holders after settling: " + std::to_string(lease_holders);
   }
   return {};
 }
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A whole site in a simulated world: the real node code, the stand-ins, callers and operators.
+/// A simulated site: production node code, stand-ins for engines and platform, callers, operators.
 #pragma once
 
 #include <cstdint>
@@ -23,21 +23,21 @@
   int engines = 4;
   int zones = 3;
   int regions = 1;
-  int models = 1;  ///< Services; the engines are dealt out to them in turn.
+  int models = 1;  ///< Number of services; engines are assigned round-robin.
   int tenants = 1;
   bool split_roles = true;
   std::uint64_t seed = 1;
   NetworkSettings network;
 };
 
-/// A request as a caller remembers it.
+/// A caller's record of a request.
 struct CallerRequest {
-  std::string try_id;       ///< Of this try; in the engines' logs.
-  std::string request_key;  ///< The same for all tries of one request that may run only once.
+  std::string try_id;       ///< Unique per try; part of the engines' execution logs.
+  std::string request_key;  ///< Shared by all tries of an at-most-once request.
   bool at_most_once = false;
   int node = 0;
   MonotonicTime sent{};
-  bool node_disturbed = false;  ///< The node was killed, frozen or cut off since it was sent.
+  bool node_disturbed = false;  ///< The node was not running for part of its duration.
   int status = 0;
   std::string text;
   std::string outcome;  ///< `not_run`, `unknown`, or empty.
@@ -45,23 +45,23 @@
   bool ended = false;
 };
 
-/// What a node has cost since its start.
+/// Traffic and CPU time of a node since its start.
 struct NodeCost {
-  std::uint64_t boot = 0;  ///< Tells a restarted node from the one before.
+  std::uint64_t boot = 0;  ///< Changes with each restart.
   bool alive = true;
-  std::uint64_t sent = 0;      ///< Bytes to other nodes, without the headers below them.
-  std::uint64_t received = 0;  ///< Bytes from other nodes.
-  std::uint64_t messages = 0;  ///< Sent.
+  std::uint64_t sent = 0;      ///< Payload bytes to other nodes.
+  std::uint64_t received = 0;  ///< Payload bytes from other nodes.
+  std::uint64_t messages = 0;  ///< Datagrams sent.
   double processor_seconds = 0;
 };
 
-/// @return the difference of two accounts of one node.
+/// @return the cost of one node between two readings.
 NodeCost operator-(const NodeCost& after, const NodeCost& before);
 
-/// @return the sum of two accounts.
+/// @return the sum of two costs.
 NodeCost operator+(const NodeCost& a, const NodeCost& b);
 
-/// A simulated site.
+/// Owns the simulated world and all processes of the site.
 class Fleet {
  public:
   explicit Fleet(const FleetSettings& settings);
@@ -69,21 +69,21 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// Starts a node, new or again.
+  /// Starts or restarts a node.
   void start_node(int index);
 
-  /// Declares engines, services and tenants, and waits until all nodes hold them.
+  /// Declares engines, services and tenants, and gives the nodes time to apply them.
   void configure();
 
   void run_for(Duration length) { world.run_until(world.now() + length); }
 
-  /// Sends one request of a caller. @param logical empty: repeatable.
+  /// Sends one caller request. @param request_key empty if it may run more than once.
   void send_request(int node, std::uint32_t tokens, const std::string& request_key);
 
-  /// An operator gives a tenant of that name a weight, through a node.
+  /// Sets the weight of tenant `tenant` through a node, as an operator.
   void edit_tenant(int node, const std::string& tenant);
 
-  /// Faults.
+  /// Inject and remove faults.
   void kill_node(int index);
   void freeze_node(int index);
   void thaw_node(int index);
@@ -97,29 +97,29 @@
   void mark_engine_draining(int index);
   void heal_all();
 
-  /// @return the first promise that is broken now, or empty text.
+  /// @return the first invariant violated now, or empty text.
   std::string check();
 
-  /// @return the first promise that a healed and rested site breaks, or empty text.
+  /// @return the first invariant violated by a site that has healed and settled, or empty text.
   std::string check_settled();
 
-  /// @return whether the node's process exists; it may be frozen.
+  /// @return whether the node's process is alive, possibly frozen.
   bool node_alive(int index) const;
 
-  /// @return whether the node's process exists and is not frozen.
+  /// @return whether the node's process is alive and not frozen.
   bool node_running(int index) const;
   std::string node_address(int index) const;
   std::string engine_address(int index) const;
   nlohmann::json status(int index);
 
-  /// @return what each node has cost.
+  /// @return the cost of each node.
   std::vector<NodeCost> costs() const;
 
-  /// @return the newest and the oldest revision in force on any running node.
+  /// @return the newest and the oldest active revision over all live nodes.
   Revision newest_revision() const;
   Revision oldest_revision() const;
 
-  /// @return whether every running node takes exactly the running nodes for usable.
+  /// @return whether each live node counts exactly as many usable members as there are live nodes.
   bool members_agree() const;
 
   World world;
@@ -145,11 +145,11 @@
   std::unique_ptr<PlatformStandin> platform_;
   std::vector<std::unique_ptr<SimEngine>> engines_;
   std::vector<std::unique_ptr<SimNode>> nodes_;
-  std::vector<std::unique_ptr<SimNode>>
-      stopped_nodes_;  ///< Kept, since events may still name them.
+  std::vector<std::unique_ptr<SimNode>> stopped_nodes_;  ///< Pending events may refer to them.
   ProcessPointer caller_process_;
   std::unique_ptr<SimulatedHttpClient> caller_http_;
-  std::map<std::string, Revision> accepted_edits_;  ///< Tenant to the revision it was accepted at.
+  std::map<std::string, Revision>
+      accepted_edits_;  ///< Tenant -> revision of its last accepted edit.
   int edit_count_ = 0;
   std::uint64_t boot_count_ = 0;
   int request_count_ = 0;
--- a/src/simulation/schedule.cpp
+++ b/src/simulation/schedule.cpp
@@ -161,7 +161,7 @@
       case 3:
         return apply_platform_faults("cuts watches", {{"cut_watches", true}});
       default:
-        return apply_platform_faults("well", {{"down", false}, {"delay_ms", 0}});
+        return apply_platform_faults("recovers", {{"down", false}, {"delay_ms", 0}});
     }
   }
 
@@ -178,7 +178,7 @@
         record_event(name + " crashes");
         return fleet_.crash_engine(engine);
       case 1:
-        record_event(name + " will crash in a change");
+        record_event(name + " crashes in its next change");
         return fleet_.set_engine_faults(engine, {{"crash_in_next_change", true}});
       case 2:
         record_event(name + " refuses");
@@ -187,7 +187,7 @@
         record_event(name + " drops answers");
         return fleet_.set_engine_faults(engine, {{"drop_after_accept", true}});
       default:
-        record_event(name + " is well");
+        record_event(name + " recovers");
         return fleet_.set_engine_faults(engine,
                                         {{"refuse_requests", false}, {"drop_after_accept", false}});
     }
@@ -199,11 +199,11 @@
   }
 
   void heal_and_settle() {
-    record_event("heal all and rest");
+    record_event("heal all and settle");
     fleet_.heal_all();
     for (int i = 0; i < 15 && result_.violation.empty(); ++i) {
       fleet_.run_for(kSettleTime / 15);
-      // Nodes that were leaving have left by now; they come back as a restart would bring them.
+      // Restarts the nodes that have finished leaving since.
       if (i == 2) fleet_.heal_all();
       result_.violation = fleet_.check();
     }
@@ -211,7 +211,7 @@
     if (result_.violation.empty()) check_serving();
   }
 
-  /// A healed site answers everything.
+  /// Checks that a healed site answers all requests.
   void check_serving() {
     const std::size_t before = fleet_.requests.size();
     for (int i = 0; i < 6; ++i) fleet_.send_request(i % fleet_.settings.nodes, 20, "");
--- a/src/simulation/schedule.hpp
+++ b/src/simulation/schedule.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// Seeded schedules of load, faults and operators, after each step of which the promises are
-/// checked.
+/// Seeded schedules of requests, faults and operator edits. Invariants are checked after each step.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +11,8 @@
 /// Result of one schedule.
 struct ScheduleResult {
   std::uint64_t seed = 0;
-  std::string violation;            ///< The promise that was broken, or empty text.
-  std::vector<std::string> events;  ///< What was done, in order, with the time of each.
+  std::string violation;            ///< First violated invariant, or empty text.
+  std::vector<std::string> events;  ///< Actions in order, each with its time.
   std::uint64_t requests = 0;
   std::uint64_t completed = 0;
 };
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -6,17 +6,17 @@
 namespace shuntbank::simulation {
 namespace {
 
-/// Wall time of the world's beginning, in milliseconds since the Unix epoch.
+/// Wall-clock time at monotonic time zero, in milliseconds since the Unix epoch.
 constexpr std::uint64_t kStartUnixMilliseconds = 1'790'000'000'000;
 
-/// @return the processor time of this thread, in seconds.
+/// @return the CPU time of this thread, in seconds.
 double thread_seconds() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-/// A timer of a simulated process: a flag that its event looks at.
+/// Timer of a simulated process. Its destruction clears a flag that the scheduled event checks.
 class SimulatedTimer : public Timer {
  public:
   explicit SimulatedTimer(std::shared_ptr<bool> alive) : alive_(std::move(alive)) {}
@@ -117,7 +117,7 @@
 
 void World::stop() {
   for (const auto& [address, process] : processes_) process->kill();
-  // What the dropped events held may schedule more, so this goes on until nothing is left.
+  // Destroying dropped events may schedule further ones, hence the loop.
   while (!events_.empty()) std::exchange(events_, {});
 }
 
@@ -164,7 +164,7 @@
   return static_cast<double>(random_() % kResolution) < probability * kResolution;
 }
 
-/// One request and its reply. Pieces arrive in the order in which they were sent.
+/// One request and its reply, whose pieces arrive in order.
 class SimulatedHttpClient::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(ProcessPointer client, OutgoingRequest request, TransferHandlers handlers)
@@ -200,7 +200,7 @@
     }
   }
 
-  /// The client no longer wants it. The server learns after a delay.
+  /// Closes the client's end. The server is notified after a network delay.
   void close_from_client() {
     if (std::exchange(client_closed_, true)) return;
     total_timer_.reset();
@@ -224,10 +224,10 @@
     }
   }
 
-  /// Sends something from the server to the client, behind all that was sent before.
+  /// Sends from the server to the client, after everything sent before.
   void send_to_client(std::function<void(Exchange&)> arrival) {
     World& world = client_->world();
-    // A connection that a cut interrupted brings nothing more: the client waits until its timeout.
+    // A connection hit by a cut delivers nothing more, so the client runs into its timeout.
     link_cut_ = link_cut_ || world.is_cut(client_->address(), server_->address());
     if (link_cut_ || !server_->alive()) return;
     last_arrival_ = std::max(last_arrival_, world.now() + world.random_delay());
@@ -252,8 +252,8 @@
     end(tl::make_unexpected(TransferError{failure, message}));
   }
 
-  std::function<void()> on_closed;  ///< Of the server's handler.
-  std::function<void()> on_ended;   ///< Of the client, to forget this.
+  std::function<void()> on_closed;  ///< Notifies the server's request handler.
+  std::function<void()> on_ended;   ///< Removes this exchange from the client.
 
  private:
   std::string server_address() const {
@@ -307,7 +307,7 @@
   }
 
   void on_server_killed() {
-    // What was sent before still arrives first, as the kernel would see to it.
+    // The reset arrives after the data already sent, as in TCP.
     World& world = client_->world();
     last_arrival_ = std::max(last_arrival_, world.now() + world.random_delay());
     deliver_to_client(last_arrival_ - world.now(), [](Exchange& self) {
@@ -335,7 +335,7 @@
   std::unique_ptr<Timer> idle_timer_;
 };
 
-/// The server's end of an exchange.
+/// Server side of an exchange.
 class SimulatedHttpClient::Responder : public HttpResponder {
  public:
   explicit Responder(std::shared_ptr<Exchange> exchange) : exchange_(std::move(exchange)) {}
@@ -458,7 +458,7 @@
                               AnswerHandler handler) {
   World& world = process_->world();
   process_->call_bytes_sent += text.size();
-  // Whoever comes first, the answer or the timeout, makes the one call of the handler.
+  // The handler is called once, by the answer or the timeout, whichever comes first.
   auto pending = std::make_shared<AnswerHandler>(std::move(handler));
   const auto finish = [client = process_, pending](tl::expected<std::string, std::string> result) {
     client->run([client, pending, result = std::move(result)] {
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A simulated world: one clock, processes that can be killed and frozen, and a network between
-/// them with delays, losses and cuts. Everything follows from a seed.
+/// Discrete-event simulation: one clock, processes that can be killed and frozen, and a network
+/// between them with delays, losses and cuts. A run is determined by its seed.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 namespace shuntbank::simulation {
 
-/// Behaviour of the network.
+/// Latency and faults of the simulated network.
 struct NetworkSettings {
   Duration min_delay = std::chrono::microseconds(200);
   Duration max_delay = std::chrono::milliseconds(2);
@@ -32,8 +32,8 @@
 
 class World;
 
-/// One process: its runtime, and whether it runs. A killed process never runs again; a restart is
-/// a new one at the same address.
+/// The runtime of one simulated process. A killed process never runs again; a restart creates a
+/// new one at the same address.
 class Process : public Runtime {
  public:
   Process(World& world, std::string address) : world_(world), address_(std::move(address)) {}
@@ -44,7 +44,7 @@
   void post(std::function<void()> function) override;
   std::string random_hex(std::size_t bytes) override;
 
-  /// Runs `function` in this process, or later when it is frozen, or never when it is dead.
+  /// Runs `function` in this process: after the thaw if it is frozen, never if it was killed.
   void run(std::function<void()> function);
 
   void kill();
@@ -56,16 +56,16 @@
   const std::string& address() const { return address_; }
   World& world() { return world_; }
 
-  /// Sets what is called when the process dies, so that its connections break.
+  /// Adds a handler that is called when the process is killed, to reset its connections.
   void on_killed(std::function<void()> handler) { kill_handlers_.push_back(std::move(handler)); }
 
-  /// Whether new connections of callers are taken.
+  /// Whether new HTTP connections are accepted.
   bool listening = true;
 
   /// Answers HTTP requests to this process.
   std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)> http_handler;
 
-  /// Gets messages of other nodes.
+  /// Handlers of messages from other nodes.
   PeerTransport::DatagramHandler datagram_handler;
   PeerTransport::CallHandler call_handler;
 
@@ -74,7 +74,7 @@
   std::uint64_t call_bytes_sent = 0;
   std::uint64_t call_bytes_received = 0;
   std::uint64_t messages_sent = 0;
-  double processor_seconds = 0;  ///< Spent in this process's own code.
+  double processor_seconds = 0;  ///< CPU time of the functions run in this process.
 
  private:
   World& world_;
@@ -90,30 +90,30 @@
 
 using ProcessPointer = std::shared_ptr<Process>;
 
-/// The clock, the processes and the network.
+/// The clock, the event queue, the processes and the network.
 class World {
  public:
   World(std::uint64_t seed, const NetworkSettings& network);
 
-  /// Starts a process at an address, in place of any before.
+  /// Starts a process at an address, replacing an earlier one.
   ProcessPointer start(const std::string& address);
 
   /// @return the process at that address, or null.
   ProcessPointer find(const std::string& address) const;
 
-  /// Calls `function` at a time of the world, in no process.
+  /// Schedules `function` at simulated time `time`, outside any process.
   void schedule_at(MonotonicTime time, std::function<void()> function);
 
-  /// Runs all that happens until `end`.
+  /// Runs all events up to `end`.
   void run_until(MonotonicTime end);
 
-  /// Kills all processes and drops what is pending, before their owners go.
+  /// Kills all processes and drops pending events; called before their owners are destroyed.
   void stop();
 
-  /// Runs the next event. @return false when nothing is left before `end`.
+  /// Runs the next event. @return false when none is left up to `end`.
   bool step(MonotonicTime end);
 
-  /// Cuts or heals both directions between two addresses.
+  /// Cuts or heals the link between two addresses, in both directions.
   void cut(const std::string& a, const std::string& b);
   void heal(const std::string& a, const std::string& b);
   void heal_all() { cut_links_.clear(); }
@@ -147,7 +147,7 @@
   NetworkSettings network_;
 };
 
-/// HTTP client of a simulated process.
+/// HTTP client of a simulated process, over the simulated network.
 class SimulatedHttpClient : public HttpClient {
  public:
   explicit SimulatedHttpClient(ProcessPointer process) : process_(std::move(process)) {}
@@ -168,7 +168,7 @@
   std::map<TransferId, std::shared_ptr<Exchange>> open_exchanges_;
 };
 
-/// Messages between simulated nodes.
+/// Datagrams and calls between simulated nodes.
 class SimulatedTransport : public PeerTransport {
  public:
   explicit SimulatedTransport(ProcessPointer process) : process_(std::move(process)) {}
--- a/src/standin/engine_emulator.cpp
+++ b/src/standin/engine_emulator.cpp
@@ -7,12 +7,12 @@
 namespace shuntbank {
 namespace {
 
-/// Cache events that are kept for readers who lag.
+/// Cache events retained for lagging readers.
 constexpr std::size_t kMaxCacheEvents = 1024;
 
 constexpr double kTokensPerBlock = kPrefixBlockCharacters / 4.0;
 
-/// @return whether going from `from` to `to` takes the engine away for a while.
+/// @return whether the engine is unavailable while it goes from `from` to `to`.
 bool needs_change(const DesiredState& from, const DesiredState& to) {
   return from.role != to.role || from.models != to.models;
 }
@@ -199,7 +199,7 @@
 }
 
 void EngineEmulator::begin_step(MonotonicTime now) {
-  // Sequences whose prompt is done or imported enter the batch as far as there is room.
+  // Sequences whose prompt is prefilled or imported join the batch, up to `max_batch`.
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
     const bool ready = entry->prefill_tokens_left <= 0 && now >= entry->import_ends_at &&
                        entry->job.part != JobPart::kPrefillOnly;
--- a/src/standin/engine_emulator.hpp
+++ b/src/standin/engine_emulator.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// A model engine without I/O: continuous batching with a cost model, a bounded prefix cache,
 /// fenced orders and an execution log. The stand-in process serves it over HTTP; the simulation
-/// runs hundreds of them.
+/// runs it in process.
 #pragma once
 
 #include <cstdint>
@@ -20,19 +20,18 @@
 
 namespace shuntbank {
 
-/// The cost model. A step of the batch takes
-/// `step_base + step_per_sequence * sequences + prefill tokens in it / prefill_tokens_per_second`.
+/// The cost model. A batch step takes
+/// `step_base + step_per_sequence * sequences + its prefill tokens / prefill_tokens_per_second`.
 struct EngineCosts {
   Duration step_base = std::chrono::milliseconds(18);
   Duration step_per_sequence = std::chrono::microseconds(400);
   double prefill_tokens_per_second = 8000;
-  std::uint64_t mixed_chunk_tokens = 512;  ///< Most prefill tokens in a step beside decoding.
-  std::uint64_t prefill_chunk_tokens =
-      4096;                         ///< Most prefill tokens in a step of the prefill role.
-  std::size_t max_batch = 48;       ///< Sequences that decode at once.
-  std::size_t max_waiting = 512;    ///< Requests beyond this are refused.
-  std::size_t cache_blocks = 2048;  ///< Prefix blocks that are kept.
-  double import_tokens_per_second = 400'000;  ///< KV import from another engine.
+  std::uint64_t mixed_chunk_tokens = 512;     ///< Max. prefill tokens in a step that also decodes.
+  std::uint64_t prefill_chunk_tokens = 4096;  ///< Max. prefill tokens in any other step.
+  std::size_t max_batch = 48;                 ///< Max. sequences decoded in one step.
+  std::size_t max_waiting = 512;              ///< Further requests are refused.
+  std::size_t cache_blocks = 2048;            ///< Capacity in prefix blocks.
+  double import_tokens_per_second = 400'000;  ///< KV cache import from another engine.
   Duration role_change_time = std::chrono::seconds(4);
   Duration model_load_time = std::chrono::seconds(2);
 };
@@ -40,7 +39,7 @@
 /// Which part of a request a job runs.
 enum class JobPart {
   kWhole,
-  kPrefillOnly,  ///< Prefill, then hold the KV cache for export.
+  kPrefillOnly,  ///< Prefill, then retain the KV cache for export.
   kDecodeOnly,   ///< Import the KV cache, then decode.
 };
 
@@ -48,31 +47,31 @@
 struct EngineJob {
   RequestId request;
   AttemptId attempt;
-  std::string user;  ///< The caller's `user` field, by which tests find a request again.
+  std::string user;  ///< The caller's `user` field; identifies the request in tests.
   JobPart part = JobPart::kWhole;
-  std::string model;  ///< With `:adapter` where one is asked for; empty for a plain service.
+  std::string model;  ///< `model` or `model:adapter`; empty for a plain service.
   std::uint64_t prompt_tokens = 1;
   std::vector<std::uint64_t> blocks;  ///< Prefix blocks of the prompt.
   std::uint32_t output_tokens = 1;
-  std::uint32_t resume_from = 0;  ///< Tokens that the caller has already.
+  std::uint32_t resume_from = 0;  ///< Number of tokens that the caller already has.
   std::int32_t priority = 0;
 };
 
-/// Whether a job was taken.
+/// Whether a job was accepted, or why not.
 enum class SubmitResult { kAccepted, kNotAccepting, kChangeInProgress, kUnknownModel, kQueueFull };
 
 /// @return the name of `result` in the engine's error replies.
 const char* to_text(SubmitResult result);
 
-/// Something that happened to a job.
+/// Progress or end of a job.
 struct EngineEvent {
   enum class Kind { kToken, kPrefilled, kFinished, kInterrupted };
   Kind kind = Kind::kToken;
   AttemptId attempt;
-  std::uint32_t index = 0;  ///< Of the token.
+  std::uint32_t index = 0;  ///< Token index, for `kToken`.
 };
 
-/// One line of the execution log: ground truth for tests.
+/// Entry of the execution log: the ground truth for tests.
 struct Execution {
   enum class End { kRunning, kFinished, kCancelled, kInterrupted };
   RequestId request;
@@ -86,28 +85,28 @@
 /// @return the name of `end` in the execution log.
 const char* to_text(Execution::End end);
 
-/// One line of the order history.
+/// An order that the engine received, and its verdict.
 struct OrderHistoryEntry {
   EngineOrder order;
   OrderVerdict verdict = OrderVerdict::kAccepted;
 };
 
-/// A change of the prefix cache. Numbered; a reader that misses a number has a gap.
+/// A change of the prefix cache. Numbers are consecutive, so that a reader detects lost events.
 struct CacheEvent {
   std::uint64_t number = 0;
-  MonotonicTime at{};  ///< Published only some time later.
+  MonotonicTime at{};  ///< Time of the change; published later.
   bool inserted = true;
   std::vector<std::uint64_t> blocks;
 };
 
-/// One engine.
+/// An emulated engine whose owner advances its time.
 class EngineEmulator {
  public:
   EngineEmulator(const EngineCosts& costs, std::vector<ModelSpec> preloaded);
 
   SubmitResult submit(MonotonicTime now, const EngineJob& job);
 
-  /// Ends a job. @return whether it was there.
+  /// Cancels a job. @return whether it was waiting or running.
   bool cancel(MonotonicTime now, const AttemptId& attempt);
 
   OrderVerdict claim(Fence fence);
@@ -116,31 +115,31 @@
   EngineState state() const;
   LoadReport load() const;
 
-  /// Advances time. @return what happened, in order.
+  /// Advances time. @return the events since the last call, in order.
   std::vector<EngineEvent> advance(MonotonicTime now);
 
-  /// @return when something happens next, if nothing else comes in.
+  /// @return the time of the next event without further input.
   std::optional<MonotonicTime> next_time() const;
 
-  /// The process crashed and started again: jobs, cache, fence and a change under way are gone.
-  /// The execution log and order history stay, since they are the observer's and not the engine's.
+  /// Emulates a crash and restart: jobs, cache, fence and a change in progress are lost. The
+  /// execution log and order history survive, as they serve the tests and not the engine.
   void restart(MonotonicTime now);
 
   const std::vector<Execution>& executions() const { return executions_; }
   const std::vector<OrderHistoryEntry>& order_history() const { return order_history_; }
   const std::deque<CacheEvent>& cache_events() const { return cache_events_; }
 
-  /// @return jobs that a change of role or models cut. A correct controller causes none.
+  /// @return jobs interrupted by a change of role or models. A correct controller causes none.
   std::uint64_t interrupted_by_change() const { return interrupted_by_change_; }
 
-  /// @return changes of role that were completed.
+  /// @return role changes started.
   std::uint64_t role_changes() const { return role_changes_; }
 
  private:
   struct ActiveJob {
     EngineJob job;
-    std::size_t execution = 0;       ///< Index in the log.
-    double prefill_tokens_left = 0;  ///< Tokens.
+    std::size_t execution = 0;  ///< Index in the log.
+    double prefill_tokens_left = 0;
     std::uint32_t next_index = 0;
     MonotonicTime import_ends_at{};
   };
@@ -161,8 +160,8 @@
   DesiredState active_state_;
   std::optional<MonotonicTime> change_ends_at_;
   std::vector<EngineEvent> pending_events_;
-  std::deque<ActiveJob> waiting_;    ///< Prefill to do or KV cache to import.
-  std::vector<ActiveJob> decoding_;  ///< In the batch.
+  std::deque<ActiveJob> waiting_;    ///< Waiting for prefill, KV cache import or the batch.
+  std::vector<ActiveJob> decoding_;  ///< The decode batch.
   std::optional<MonotonicTime> step_ends_at_;
   double step_prefill_tokens_ = 0;
   PrefixCache cache_;
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-/// A completion that is being answered.
+/// A completion in flight.
 struct EngineStandin::Answer {
   RequestId request;
   AttemptId attempt;
@@ -37,7 +37,7 @@
   PromptFacts facts;
   JobPart part = JobPart::kWhole;
   Responder responder;
-  std::string collected;  ///< Text so far, when the reply is not streamed.
+  std::string collected;  ///< Text of a reply that is not streamed.
   bool stream_started = false;
 };
 
@@ -186,7 +186,7 @@
   const SubmitResult result = emulator_.submit(emulated_now(), job);
   if (result != SubmitResult::kAccepted) return refuse(answer->responder, to_text(result));
   if (faults_.drop_after_accept) {
-    // Half a reply: the status line promises a body that never ends properly.
+    // A truncated reply: a successful status and a stream without its end marker.
     answer->responder->begin_stream(200, {{"Content-Type", "text/event-stream"}});
     answer->responder->finish();
     return;
@@ -209,7 +209,7 @@
   const auto next = emulator_.next_time();
   if (!next) return;
   const double seconds = to_seconds(*next - emulated_now()) / settings_.time_scale;
-  // Rounded up, so that the step is surely over when the call comes.
+  // Rounded up, so that the step has ended when the timer fires.
   const Duration delay = from_seconds(std::max(0.0, seconds)) + Duration(1);
   timer_ = runtime_.after(delay, [this] { run_emulator(); });
 }
@@ -231,7 +231,7 @@
       return finish(*answer);
     case EngineEvent::Kind::kInterrupted:
       answers_.erase(event.attempt);
-      // A stream without its end marker, or an error without a word on the outcome.
+      // A stream without its end marker, or an error without an outcome header.
       if (answer->stream_started) return answer->responder->finish();
       return answer->responder->respond(json_reply(500, {{"error", "cut"}}));
   }
--- a/src/standin/engine_standin.hpp
+++ b/src/standin/engine_standin.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The engine stand-in process: the emulator, or a plain service, behind the published interface.
+/// The engine stand-in process: serves the emulator, or a plain service, over the engine API.
 #pragma once
 
 #include <map>
@@ -19,23 +19,23 @@
   bool plain = false;
   std::vector<ModelSpec> preloaded;
   EngineCosts costs;
-  double time_scale = 1.0;                             ///< Emulated seconds in a second.
+  double time_scale = 1.0;                             ///< Emulated seconds per real second.
   Duration load_lag = std::chrono::milliseconds(200);  ///< Age of load reports.
   Duration cache_event_lag = std::chrono::milliseconds(500);
-  double cache_event_loss = 0.02;  ///< Share of cache events that are never published.
+  double cache_event_loss = 0.02;  ///< Fraction of cache events that are never published.
   Duration plain_service_time = std::chrono::milliseconds(3);
   std::uint64_t seed = 1;
 };
 
 /// Faults that tests switch on at run time by `POST /faults`.
 struct EngineFaults {
-  bool refuse_requests = false;       ///< Refuse every request, saying that it did not run.
-  bool drop_after_accept = false;     ///< Run the request, then close without an answer.
-  bool wrong_attempt_id = false;      ///< Mark chunks with another attempt's id.
-  bool crash_in_next_change = false;  ///< Forget everything halfway through the next change.
+  bool refuse_requests = false;       ///< Refuse every request with the outcome `not_run`.
+  bool drop_after_accept = false;     ///< Run the request, but end its stream without tokens.
+  bool wrong_attempt_id = false;      ///< Label chunks with another attempt's id.
+  bool crash_in_next_change = false;  ///< Crash and restart when the next change starts.
 };
 
-/// One engine process.
+/// Serves one emulated engine.
 class EngineStandin {
  public:
   EngineStandin(Runtime& runtime, const EngineStandinSettings& settings);
@@ -43,13 +43,13 @@
   EngineStandin(const EngineStandin&) = delete;
   EngineStandin& operator=(const EngineStandin&) = delete;
 
-  /// Handles one request of the published interface, or of the tests' interface for faults.
+  /// Handles one request of the engine API, or of `/faults`.
   void handle(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder);
 
-  /// @return the engine inside, for those who look on.
+  /// @return the emulated engine, for inspection.
   const EngineEmulator& emulator() const { return emulator_; }
 
-  /// @return when the plain service ran what.
+  /// @return the execution log of the plain service.
   const std::vector<Execution>& plain_executions() const { return plain_executions_; }
 
  private:
--- a/src/standin/platform_standin.cpp
+++ b/src/standin/platform_standin.cpp
@@ -81,7 +81,7 @@
   answer_watches(key);
   if (faults_.lose_write_answers > 0) {
     --faults_.lose_write_answers;
-    // The answer never comes within the writer's patience.
+    // Holds the responder open for longer than the writer's timeout.
     call_after(runtime_, std::chrono::seconds(60), [responder] {});
     return;
   }
@@ -100,7 +100,7 @@
   watches_.push_back({key, known_version, responder, nullptr});
   const auto watch = std::prev(watches_.end());
   watch->timer = runtime_.after(ObjectClient::kWatchTime, [this, watch, key] {
-    // The timer goes with the watch, so it is kept to the end of its own call.
+    // Erasing the watch would destroy the timer whose callback is running.
     const auto timer = std::move(watch->timer);
     const Responder waiting = watch->responder;
     watches_.erase(watch);
--- a/src/standin/platform_standin.hpp
+++ b/src/standin/platform_standin.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The platform stand-in: versioned objects with compare-and-set and watches, a lagging machine
-/// list and a weight store with a rate limit. Faults are switched on at run time.
+/// list and a rate-limited weight store. Faults are switched on at run time.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 /// Settings of the platform stand-in.
 struct PlatformStandinSettings {
-  std::uint64_t max_watches = 16;  ///< Further readers are refused with 429.
+  std::uint64_t max_watches = 16;  ///< Further watches are refused with 429.
   Duration machine_list_lag = std::chrono::seconds(2);
   double weight_reads_per_second = 5;
 };
@@ -27,11 +27,11 @@
 struct PlatformFaults {
   bool down = false;                     ///< Answers 503 to everything but `/faults` and `/stats`.
   Duration delay{0};                     ///< Before each answer.
-  std::uint64_t lose_write_answers = 0;  ///< So many writes take effect and get no answer.
-  bool stale_machines = false;           ///< The machine list stops moving.
+  std::uint64_t lose_write_answers = 0;  ///< Number of writes to apply without answering.
+  bool stale_machines = false;           ///< The machine list is no longer updated.
 };
 
-/// One platform process.
+/// Serves the platform API from memory.
 class PlatformStandin {
  public:
   PlatformStandin(Runtime& runtime, const PlatformStandinSettings& settings);
@@ -39,7 +39,7 @@
   PlatformStandin(const PlatformStandin&) = delete;
   PlatformStandin& operator=(const PlatformStandin&) = delete;
 
-  /// Handles one request of the published interface, or of the tests' interface for faults.
+  /// Handles one request of the platform API, or of `/faults` and `/stats`.
   void handle(HttpRequest request, const std::shared_ptr<HttpResponder>& responder);
 
  private:
@@ -72,8 +72,8 @@
   std::map<std::string, Object> objects_;
   std::uint64_t last_version_ = 0;
   std::list<Watch> watches_;
-  nlohmann::json machines_ = nlohmann::json::object();            ///< The truth.
-  nlohmann::json published_machines_ = nlohmann::json::object();  ///< What readers see.
+  nlohmann::json machines_ = nlohmann::json::object();            ///< Current state.
+  nlohmann::json published_machines_ = nlohmann::json::object();  ///< Lags behind.
   double weight_tokens_ = 0;
   MonotonicTime weight_filled_at_;
   std::map<std::string, std::uint64_t> request_counts_;  ///< Requests by method and path.
--- a/tests/simulation/schedule_test.cpp
+++ b/tests/simulation/schedule_test.cpp
@@ -25,7 +25,7 @@
   cr_assert_eq(first.completed, second.completed);
 }
 
-// Seeds of the first long runs that broke a promise; their causes are in the commits.
+// Regression test for seeds that violated an invariant.
 Test(schedule, invariants_hold_for_seeds_that_failed_before) {
   cr_assert(set_log_levels("off").has_value());
   for (const std::uint64_t seed :
