--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char* kPlatformAddress = "10.0.0.1:1";
 constexpr const char* kCallerAddress = "10.0.0.2:1";
-constexpr const char* kKey = "sb-simulated";
+constexpr const char* kApiKey = "sb-simulated";
 
 /// New work may reach a draining engine for this long: machine list lag plus a node's poll
 /// interval.
@@ -168,7 +168,7 @@
                     {"allowed_roles", roles}}));
   }
   for (int i = 0; i < settings.tenants; ++i) {
-    const std::string key = i == 0 ? kKey : numbered(kKey, i);
+    const std::string key = i == 0 ? kApiKey : numbered(kApiKey, i);
     edits.push_back(set_object(ObjectKind::kTenant, numbered("t", i), 0,
                                {{"keys", json::array({{{"sha256", sha256_hex(key)}}})}}));
   }
@@ -266,7 +266,7 @@
   OutgoingRequest outgoing;
   outgoing.method = "POST";
   outgoing.url = "http://" + node_address(node) + "/v1/completions";
-  outgoing.headers.add("Authorization", std::string("Bearer ") + kKey);
+  outgoing.headers.add("Authorization", std::string("Bearer ") + kApiKey);
   if (request->at_most_once) outgoing.headers.add("Idempotency-Key", request->request_key);
   outgoing.total_timeout = std::chrono::seconds(60);
   outgoing.body = json{
@@ -277,12 +277,12 @@
       {"stream",
        true}}.dump();
   auto splitter = std::make_shared<EventStreamSplitter>();
-  auto raw = std::make_shared<std::string>();
+  auto error_body = std::make_shared<std::string>();
   TransferHandlers handlers;
   handlers.on_headers = [request](int status, const HttpHeaders&) { request->status = status; };
-  handlers.on_data = [request, splitter, raw](std::string_view piece) {
+  handlers.on_data = [request, splitter, error_body](std::string_view piece) {
     if (request->status != 200) {
-      *raw += piece;
+      *error_body += piece;
       return true;
     }
     splitter->feed(piece, [request](const ServerSentEvent& event) {
@@ -299,11 +299,11 @@
     });
     return true;
   };
-  handlers.on_done = [request, raw, tokens](const auto& result) {
+  handlers.on_done = [request, error_body, tokens](const auto& result) {
     request->ended = true;
     const bool refused = !result && result.error().failure == TransferFailure::kNothingSent;
     if (refused) request->outcome = "not_run";
-    const json error = json::parse(*raw, nullptr, false);
+    const json error = json::parse(*error_body, nullptr, false);
     if (error.is_object() && error.contains("error")) {
       request->outcome = error["error"].value("outcome", "");
     }
--- a/src/simulation/schedule.cpp
+++ b/src/simulation/schedule.cpp
@@ -45,8 +45,8 @@
     return settings;
   }
 
-  int random_below(int below) {
-    return static_cast<int>(random_() % static_cast<std::uint64_t>(below));
+  int random_below(int bound) {
+    return static_cast<int>(random_() % static_cast<std::uint64_t>(bound));
   }
   int random_node() { return random_below(fleet_.settings.nodes); }
   int random_engine() { return random_below(fleet_.settings.engines); }
@@ -60,9 +60,9 @@
     for (int i = random_below(4); i > 0; --i) send_request();
     switch (random_below(16)) {
       case 0:
-        return disturb_node("kill", &Fleet::kill_node);
+        return inject_node_fault("kill", &Fleet::kill_node);
       case 1:
-        return disturb_node("freeze", &Fleet::freeze_node);
+        return inject_node_fault("freeze", &Fleet::freeze_node);
       case 2:
         return restart_one_node();
       case 3:
@@ -95,7 +95,7 @@
                  request_key);
   }
 
-  void disturb_node(const char* what, void (Fleet::*fault)(int)) {
+  void inject_node_fault(const char* what, void (Fleet::*fault)(int)) {
     const int node = random_node();
     if (!fleet_.node_running(node)) return;
     record_event(std::string(what) + " node " + std::to_string(node));
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t kStartUnixMilliseconds = 1'790'000'000'000;
 
 /// @return the CPU time of this thread, in seconds.
-double thread_seconds() {
+double thread_cpu_seconds() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
@@ -76,9 +76,9 @@
 void Process::run_measured(const std::function<void()>& function) {
   if (running_) return function();
   running_ = true;
-  const double before = thread_seconds();
+  const double before = thread_cpu_seconds();
   function();
-  processor_seconds += thread_seconds() - before;
+  processor_seconds += thread_cpu_seconds() - before;
   running_ = false;
 }
 
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -310,8 +310,9 @@
   const AttemptId attempt(std::string(request.headers.get(engine_api::kAttemptIdHeader)));
   const MonotonicTime now = emulated_now();
   plain_executions_.push_back({id, attempt, "", now, now, Execution::End::kFinished});
-  const std::string echoed = sha256_hex(request.method + " " + request.path + "\n" + request.body);
-  HttpReply reply = json_reply(200, {{"path", request.path}, {"sha256", echoed}});
+  const std::string request_hash =
+      sha256_hex(request.method + " " + request.path + "\n" + request.body);
+  HttpReply reply = json_reply(200, {{"path", request.path}, {"sha256", request_hash}});
   reply.headers.add(engine_api::kAttemptIdHeader, attempt.value());
   reply.headers.add(engine_api::kLoadHeader, load_header());
   call_after(runtime_, settings_.plain_service_time,
--- a/src/standin/platform_standin.cpp
+++ b/src/standin/platform_standin.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 PlatformStandin::PlatformStandin(Runtime& runtime, const PlatformStandinSettings& settings)
-    : runtime_(runtime), settings_(settings), weight_filled_at_(runtime.now()) {}
+    : runtime_(runtime), settings_(settings), weight_refilled_at_(runtime.now()) {}
 
 PlatformStandin::~PlatformStandin() = default;
 
@@ -150,8 +150,8 @@
 void PlatformStandin::handle_weights(const Responder& responder) {
   const MonotonicTime now = runtime_.now();
   const double rate = settings_.weight_reads_per_second;
-  weight_tokens_ = std::min(rate, weight_tokens_ + to_seconds(now - weight_filled_at_) * rate);
-  weight_filled_at_ = now;
+  weight_tokens_ = std::min(rate, weight_tokens_ + to_seconds(now - weight_refilled_at_) * rate);
+  weight_refilled_at_ = now;
   if (weight_tokens_ < 1) return responder->respond(json_reply(429, {{"error", "rate limit"}}));
   weight_tokens_ -= 1;
   responder->respond(json_reply(200, {{"weights", "stand-in"}}));
--- a/src/standin/platform_standin.hpp
+++ b/src/standin/platform_standin.hpp
@@ -75,7 +75,7 @@
   nlohmann::json machines_ = nlohmann::json::object();            ///< Current state.
   nlohmann::json published_machines_ = nlohmann::json::object();  ///< Lags behind.
   double weight_tokens_ = 0;
-  MonotonicTime weight_filled_at_;
+  MonotonicTime weight_refilled_at_;
   std::map<std::string, std::uint64_t> request_counts_;  ///< Requests by method and path.
 };
 
--- a/tests/standin/engine_emulator_test.cpp
+++ b/tests/standin/engine_emulator_test.cpp
@@ -9,13 +9,13 @@
 
 const std::vector<ModelSpec> kModels{{"m", "1", {"a"}}};
 
-EngineJob job(const std::string& name, std::uint64_t prompt, std::uint32_t output) {
+EngineJob job(const std::string& name, std::uint64_t prompt_length, std::uint32_t output_length) {
   EngineJob job;
   job.request = RequestId(name);
   job.attempt = AttemptId(name + ".1");
   job.model = "m";
-  job.prompt_tokens = prompt;
-  job.output_tokens = output;
+  job.prompt_tokens = prompt_length;
+  job.output_tokens = output_length;
   return job;
 }
 
@@ -66,7 +66,7 @@
   cr_assert_lt(warm.count() * 5, cold.count());
 }
 
-Test(engine_emulator, a_crash_forgets_fence_and_jobs) {
+Test(engine_emulator, a_crash_loses_fence_and_jobs) {
   EngineEmulator engine(EngineCosts{}, kModels);
   engine.claim(4);
   engine.submit({}, job("a", 10, 100));
@@ -76,7 +76,7 @@
   cr_assert_eq(engine.executions()[0].end, Execution::End::kInterrupted);
 }
 
-Test(engine_emulator, refuses_what_it_cannot_run) {
+Test(engine_emulator, refuses_jobs_it_cannot_run) {
   EngineEmulator engine(EngineCosts{}, kModels);
   EngineJob other = job("a", 10, 1);
   other.model = "n";
