--- a/src/apps/shuntbank_standin.cpp
+++ b/src/apps/shuntbank_standin.cpp
@@ -68,7 +68,7 @@
   PlatformStandinSettings settings;
   OptionSet options("shuntbank-standin platform [options]");
   add_listen(options, server);
-  options.add_whole("max-watches", settings.max_watches, 1, 10000, "Most watches at once.");
+  options.add_unsigned("max-watches", settings.max_watches, 1, 10000, "Most watches at once.");
   options.add_duration("machine-list-lag", settings.machine_list_lag, Duration(0),
                        std::chrono::minutes(10), "Lag of the machine list.");
   const OptionsOutcome outcome = options.read(arguments, std::cout, std::cerr);
@@ -104,12 +104,13 @@
   options.add_number("prefill-rate", settings.costs.prefill_tokens_per_second, 1, 1e12,
                      "Prompt tokens prefilled in an emulated second.");
   std::uint64_t max_waiting = settings.costs.max_waiting;
-  options.add_whole("max-waiting", max_waiting, 1, 1'000'000, "Requests beyond this are refused.");
+  options.add_unsigned("max-waiting", max_waiting, 1, 1'000'000,
+                       "Requests beyond this are refused.");
   std::uint64_t max_batch = settings.costs.max_batch;
-  options.add_whole("max-batch", max_batch, 1, 100000, "Sequences that decode at once.");
+  options.add_unsigned("max-batch", max_batch, 1, 100000, "Sequences that decode at once.");
   options.add_duration("role-change-time", settings.costs.role_change_time, Duration(0),
                        std::chrono::hours(1), "Emulated time of a change of role.");
-  options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Seed of lost cache events.");
+  options.add_unsigned("seed", settings.seed, 0, UINT64_MAX, "Seed of lost cache events.");
   const OptionsOutcome outcome = options.read(arguments, std::cout, std::cerr);
   if (!outcome.run) return static_cast<int>(outcome.code);
   settings.costs.max_batch = max_batch;
--- a/src/bench/configuration_command.cpp
+++ b/src/bench/configuration_command.cpp
@@ -44,9 +44,10 @@
                                    std::ostream& errors) {
   ConfigurationSettings settings;
   OptionSet options("shuntbank-bench configuration [options]");
-  options.add_whole("routes", settings.routes, 1, 1000000, "Routes in the configuration.");
-  options.add_whole("changed", settings.changed, 0, 1000000, "Routes that the newer one changes.");
-  options.add_whole("rounds", settings.rounds, 1, 100000, "Times that each step is done.");
+  options.add_unsigned("routes", settings.routes, 1, 1000000, "Routes in the configuration.");
+  options.add_unsigned("changed", settings.changed, 0, 1000000,
+                       "Routes that the newer one changes.");
+  options.add_unsigned("rounds", settings.rounds, 1, 100000, "Times that each step is done.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
   const relay::RouteConfiguration held = configuration_of(settings.routes);
--- a/src/bench/hollow_command.cpp
+++ b/src/bench/hollow_command.cpp
@@ -192,15 +192,15 @@
   HollowSettings settings;
   OptionSet options("shuntbank-bench hollow [options]");
   constexpr std::uint64_t kMost = 100'000;
-  options.add_whole("nodes", settings.nodes, 3, kMost, "Nodes.");
-  options.add_whole("engines", settings.engines, 1, kMost, "Engines.");
-  options.add_whole("tenants", settings.tenants, 1, kMost, "Tenants.");
-  options.add_whole("models", settings.models, 1, 100, "Model services.");
-  options.add_whole("regions", settings.regions, 1, 100, "Regions.");
-  options.add_whole("zones", settings.zones, 1, 100, "Zones.");
+  options.add_unsigned("nodes", settings.nodes, 3, kMost, "Nodes.");
+  options.add_unsigned("engines", settings.engines, 1, kMost, "Engines.");
+  options.add_unsigned("tenants", settings.tenants, 1, kMost, "Tenants.");
+  options.add_unsigned("models", settings.models, 1, 100, "Model services.");
+  options.add_unsigned("regions", settings.regions, 1, 100, "Regions.");
+  options.add_unsigned("zones", settings.zones, 1, 100, "Zones.");
   options.add_duration("measure-for", settings.measure_for, seconds(10), std::chrono::hours(1),
                        "Simulated time of each stretch, at least.");
-  options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Seed.");
+  options.add_unsigned("seed", settings.seed, 0, UINT64_MAX, "Seed.");
   static_cast<void>(set_log_levels("off"));
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
--- a/src/bench/keys_command.cpp
+++ b/src/bench/keys_command.cpp
@@ -50,9 +50,9 @@
                           std::ostream& errors) {
   KeysSettings settings;
   OptionSet options("shuntbank-bench keys [options]");
-  options.add_whole("tenants", settings.tenants, 1, 1000000, "Tenants in the configuration.");
-  options.add_whole("keys", settings.keys_each, 1, 100, "Keys of each tenant.");
-  options.add_whole("requests", settings.requests, 1, 100000000, "Keys that are looked at.");
+  options.add_unsigned("tenants", settings.tenants, 1, 1000000, "Tenants in the configuration.");
+  options.add_unsigned("keys", settings.keys_each, 1, 100, "Keys of each tenant.");
+  options.add_unsigned("requests", settings.requests, 1, 100000000, "Keys that are looked at.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
   const double empty = bytes_in_use();
--- a/src/bench/load_command.cpp
+++ b/src/bench/load_command.cpp
@@ -67,9 +67,9 @@
   std::vector<std::string> operators;
   bool strict = false;
   OptionSet options("shuntbank-bench load [options]");
-  options.add_texts("target", settings.targets, "IP:PORT of a callers' interface.");
-  options.add_texts("operators", operators,
-                    "IP:PORT of an operators' interface, for role changes.");
+  options.add_text_list("target", settings.targets, "IP:PORT of a callers' interface.");
+  options.add_text_list("operators", operators,
+                        "IP:PORT of an operators' interface, for role changes.");
   options.add_text("key", settings.key, "Tenant key.");
   options.require("key");
   options.add_text("model", settings.model, "Model to ask.");
@@ -84,7 +84,7 @@
               });
   options.add_flag("stream", settings.stream, "Ask for streamed answers.");
   options.add_flag("strict", strict, "Fail unless every answer is whole.");
-  options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Seed of arrivals and prompts.");
+  options.add_unsigned("seed", settings.seed, 0, UINT64_MAX, "Seed of arrivals and prompts.");
   options.add_duration("first-token-target", settings.first_token_target, Duration(1),
                        std::chrono::hours(1), "Latency target that counts as good.");
   options.add_duration("between-tokens-target", settings.between_tokens_target, Duration(1),
--- a/src/bench/overhead_command.cpp
+++ b/src/bench/overhead_command.cpp
@@ -202,15 +202,15 @@
   OptionSet options("shuntbank-bench overhead [options]");
   options.add_text("engine", settings.engine, "IP:PORT of an idle engine.");
   options.add_text("node", settings.node, "IP:PORT of the node's callers' interface.");
-  options.add_whole("node-pid", settings.node_pid, 1, UINT32_MAX, "Process id of the node.");
+  options.add_unsigned("node-pid", settings.node_pid, 1, UINT32_MAX, "Process id of the node.");
   options.add_text("key", settings.key, "Tenant key.");
   options.add_text("idle-model", settings.idle_model, "Model of the idle engine.");
   options.add_text("busy-model", settings.busy_model, "Model that feeds the open streams.");
   for (const char* name : {"engine", "node", "node-pid", "key", "idle-model", "busy-model"}) {
     options.require(name);
   }
-  options.add_whole("streams", settings.streams, 0, 100'000, "Streams that stay open.");
-  options.add_whole("rounds", settings.rounds, 10, 1'000'000, "Requests straight and through.");
+  options.add_unsigned("streams", settings.streams, 0, 100'000, "Streams that stay open.");
+  options.add_unsigned("rounds", settings.rounds, 10, 1'000'000, "Requests straight and through.");
   options.add_duration("relay-time", settings.relay_time, std::chrono::seconds(1),
                        std::chrono::hours(1), "Time over which chunks are counted.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
--- a/src/bench/simulate_command.cpp
+++ b/src/bench/simulate_command.cpp
@@ -82,7 +82,7 @@
                 range = *parsed;
                 return {};
               });
-  options.add_whole("threads", threads, 1, 256, "Schedules at once.");
+  options.add_unsigned("threads", threads, 1, 256, "Schedules at once.");
   options.add_flag("events", events, "Print the events of the first broken schedule.");
   // Quiet unless --log-level asks for more, which is of use with a single seed.
   static_cast<void>(set_log_levels("off"));
--- a/src/common/findings.cpp
+++ b/src/common/findings.cpp
@@ -8,7 +8,7 @@
   items_.push_back({std::move(place), std::move(message)});
 }
 
-void Findings::absorb(const Findings& other, const std::string& prefix) {
+void Findings::append(const Findings& other, const std::string& prefix) {
   for (const Finding& finding : other.items()) add(prefix + finding.place, finding.message);
 }
 
--- a/src/common/findings.hpp
+++ b/src/common/findings.hpp
@@ -20,7 +20,7 @@
   void add(std::string place, std::string message);
 
   /// Takes over all findings of `other`, each place prefixed by `prefix`.
-  void absorb(const Findings& other, const std::string& prefix);
+  void append(const Findings& other, const std::string& prefix);
 
   bool empty() const { return items_.empty(); }
   const std::vector<Finding>& items() const { return items_; }
--- a/src/common/hash.cpp
+++ b/src/common/hash.cpp
@@ -34,8 +34,8 @@
 }
 
 double hash_fraction(std::string_view text, std::uint64_t seed) {
-  constexpr double kWhole = 18446744073709551616.0;  // 2 to the 64th.
-  return static_cast<double>(hash64(text, seed)) / kWhole;
+  constexpr double kRange = 18446744073709551616.0;  // 2 to the 64th.
+  return static_cast<double>(hash64(text, seed)) / kRange;
 }
 
 std::string sha256_hex(std::string_view text) {
@@ -50,15 +50,15 @@
 Digest128 sha256_128(std::initializer_list<std::string_view> texts) {
   const std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(EVP_MD_CTX_new(),
                                                                         &EVP_MD_CTX_free);
-  bool sound = context && EVP_DigestInit_ex(context.get(), EVP_sha256(), nullptr) == 1;
+  bool ok = context && EVP_DigestInit_ex(context.get(), EVP_sha256(), nullptr) == 1;
   for (const std::string_view text : texts) {
     const auto size = static_cast<std::uint64_t>(text.size());
-    sound = sound && EVP_DigestUpdate(context.get(), &size, sizeof(size)) == 1;
-    sound = sound && EVP_DigestUpdate(context.get(), text.data(), text.size()) == 1;
+    ok = ok && EVP_DigestUpdate(context.get(), &size, sizeof(size)) == 1;
+    ok = ok && EVP_DigestUpdate(context.get(), text.data(), text.size()) == 1;
   }
   std::array<unsigned char, EVP_MAX_MD_SIZE> bytes{};
-  sound = sound && EVP_DigestFinal_ex(context.get(), bytes.data(), nullptr) == 1;
-  if (!sound) throw std::runtime_error("SHA-256 is not available");
+  ok = ok && EVP_DigestFinal_ex(context.get(), bytes.data(), nullptr) == 1;
+  if (!ok) throw std::runtime_error("SHA-256 is not available");
   Digest128 digest;
   std::memcpy(&digest.high, bytes.data(), sizeof(digest.high));
   std::memcpy(&digest.low, bytes.data() + sizeof(digest.high), sizeof(digest.low));
@@ -74,16 +74,16 @@
 }
 
 std::optional<Digest128> parse_digest(std::string_view text) {
-  constexpr std::size_t kHalf = 16;
-  constexpr int kHexadecimal = 16;
-  if (text.size() != 2 * kHalf) return std::nullopt;
-  const auto half = [text](std::size_t from, std::uint64_t& value) {
+  constexpr std::size_t kHalfDigits = 16;
+  constexpr int kBase = 16;
+  if (text.size() != 2 * kHalfDigits) return std::nullopt;
+  const auto parse_half = [text](std::size_t from, std::uint64_t& value) {
     const char* first = text.data() + from;
-    const auto parsed = std::from_chars(first, first + kHalf, value, kHexadecimal);
-    return parsed.ec == std::errc() && parsed.ptr == first + kHalf;
+    const auto parsed = std::from_chars(first, first + kHalfDigits, value, kBase);
+    return parsed.ec == std::errc() && parsed.ptr == first + kHalfDigits;
   };
   Digest128 digest;
-  if (!half(0, digest.high) || !half(kHalf, digest.low)) return std::nullopt;
+  if (!parse_half(0, digest.high) || !parse_half(kHalfDigits, digest.low)) return std::nullopt;
   return digest;
 }
 
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -39,11 +39,11 @@
 };
 
 std::shared_ptr<LogSink>& sink() {
-  static std::shared_ptr<LogSink> made = std::make_shared<LogSink>();
-  return made;
+  static std::shared_ptr<LogSink> instance = std::make_shared<LogSink>();
+  return instance;
 }
 
-spdlog::logger& output() {
+spdlog::logger& spdlog_logger() {
   static const std::shared_ptr<spdlog::logger> logger = [] {
     auto created = std::make_shared<spdlog::logger>("shuntbank", sink());
     created->set_pattern("time=%Y-%m-%dT%H:%M:%S.%eZ %v", spdlog::pattern_time_type::utc);
@@ -58,15 +58,15 @@
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-tl::expected<void, std::string> set_one_level(std::string_view item) {
+tl::expected<void, std::string> apply_level(std::string_view item) {
   const std::size_t equals = item.find('=');
-  const bool for_all = equals == std::string_view::npos;
-  const std::string_view level_name = for_all ? item : item.substr(equals + 1);
+  const bool all_areas = equals == std::string_view::npos;
+  const std::string_view level_name = all_areas ? item : item.substr(equals + 1);
   const std::size_t level = index_of(kLevelNames, level_name);
   if (level == kLevelNames.size()) {
     return tl::make_unexpected("unknown log level '" + std::string(level_name) + "'");
   }
-  if (for_all) {
+  if (all_areas) {
     area_levels.fill(static_cast<LogLevel>(level));
     return {};
   }
@@ -88,7 +88,7 @@
 tl::expected<void, std::string> set_log_levels(std::string_view text) {
   while (!text.empty()) {
     const std::size_t comma = std::min(text.find(','), text.size());
-    auto result = set_one_level(text.substr(0, comma));
+    auto result = apply_level(text.substr(0, comma));
     if (!result) return result;
     text.remove_prefix(std::min(comma + 1, text.size()));
   }
@@ -116,8 +116,8 @@
   sink()->output.set_limits(limits);
 }
 
-std::uint64_t log_lines_left_out() {
-  return sink()->output.left_out();
+std::uint64_t dropped_log_lines() {
+  return sink()->output.dropped_lines();
 }
 
 void log_event(LogArea area, LogLevel level, std::string_view event,
@@ -132,8 +132,8 @@
     line += '=';
     line += escape_log_value(field.value);
   }
-  sink()->importance = level >= LogLevel::kWarning ? LogImportance::kTrouble : importance;
-  output().info(line);
+  sink()->importance = level >= LogLevel::kWarning ? LogImportance::kProblem : importance;
+  spdlog_logger().info(line);
 }
 
 }  // namespace shuntbank
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -38,7 +38,7 @@
 void set_log_limits(const LogLimits& limits);
 
 /// @return lines that were left out, for want of room or by the bounds.
-std::uint64_t log_lines_left_out();
+std::uint64_t dropped_log_lines();
 
 /// Writes `time=… level=… area=… event=NAME key=value …` to standard output, never waiting.
 /// @param importance what may be left out first under load; warnings and errors go last anyway.
--- a/src/common/log_output.hpp
+++ b/src/common/log_output.hpp
@@ -14,7 +14,7 @@
 enum class LogImportance {
   kStep,     ///< One step of a request; the first to go.
   kOutcome,  ///< The final outcome of a request, or a change of what the process believes.
-  kTrouble,  ///< A warning or an error; only a full descriptor holds it back.
+  kProblem,  ///< A warning or an error; only a full descriptor holds it back.
 };
 
 /// Bounds on lines a second; zero means no bound.
@@ -35,19 +35,19 @@
   bool write(MonotonicTime now, LogImportance importance, const std::string& line);
 
   /// @return lines left out so far.
-  std::uint64_t left_out() const { return left_out_; }
+  std::uint64_t dropped_lines() const { return dropped_lines_; }
 
  private:
-  bool within_limits(MonotonicTime now, LogImportance importance);
-  bool put(const std::string& line) const;
+  bool admit(MonotonicTime now, LogImportance importance);
+  bool try_write(const std::string& line) const;
 
   int descriptor_;
   LogLimits limits_;
-  MonotonicTime second_began_{};
+  MonotonicTime second_start_{};
   std::uint32_t steps_ = 0;
   std::uint32_t lines_ = 0;
-  std::uint64_t left_out_ = 0;
-  std::uint64_t told_ = 0;  ///< Of `left_out_`, told in the log itself.
+  std::uint64_t dropped_lines_ = 0;
+  std::uint64_t reported_drops_ = 0;  ///< Of `dropped_lines_`, told in the log itself.
 };
 
 }  // namespace shuntbank
--- a/src/common/runtime.cpp
+++ b/src/common/runtime.cpp
@@ -11,15 +11,15 @@
 
 double random_fraction(Runtime& runtime) {
   constexpr std::size_t kBytes = 2;
-  constexpr double kWhole = 65536;
-  return static_cast<double>(std::stoul(runtime.random_hex(kBytes), nullptr, 16)) / kWhole;
+  constexpr double kRange = 65536;
+  return static_cast<double>(std::stoul(runtime.random_hex(kBytes), nullptr, 16)) / kRange;
 }
 
 void call_after(Runtime& runtime, Duration delay, std::function<void()> function) {
   // The timer lives in its own call and goes with it.
-  auto holder = std::make_shared<std::unique_ptr<Timer>>();
-  *holder = runtime.after(delay, [holder, function = std::move(function)] {
-    const auto keep_until_return = std::move(*holder);
+  auto timer = std::make_shared<std::unique_ptr<Timer>>();
+  *timer = runtime.after(delay, [timer, function = std::move(function)] {
+    const auto alive_during_call = std::move(*timer);
     function();
   });
 }
--- a/src/common/utf8.cpp
+++ b/src/common/utf8.cpp
@@ -6,12 +6,12 @@
 namespace shuntbank {
 namespace {
 
-bool continues(char byte) {
+bool is_continuation_byte(char byte) {
   return (static_cast<unsigned char>(byte) & 0xC0U) == 0x80U;
 }
 
 /// @return the length that the first byte announces; 0: no character begins with it.
-std::size_t announced_length(unsigned char first) {
+std::size_t sequence_length(unsigned char first) {
   if (first < 0x80U) return 1;
   if (first >= 0xC2U && first <= 0xDFU) return 2;
   if (first >= 0xE0U && first <= 0xEFU) return 3;
@@ -20,7 +20,7 @@
 }
 
 /// Encodings that are too long, of surrogates, or beyond the last character.
-bool out_of_range(unsigned char first, unsigned char second) {
+bool is_invalid_second_byte(unsigned char first, unsigned char second) {
   if (first == 0xE0U) return second < 0xA0U;
   if (first == 0xEDU) return second > 0x9FU;
   if (first == 0xF0U) return second < 0x90U;
@@ -28,23 +28,23 @@
 }
 
 /// @return the length of the character at the start of `bytes`, which is not empty; 0: none.
-std::size_t character_length(std::string_view bytes) {
+std::size_t valid_prefix_length(std::string_view bytes) {
   const auto first = static_cast<unsigned char>(bytes[0]);
-  const std::size_t length = announced_length(first);
+  const std::size_t length = sequence_length(first);
   if (length <= 1) return length;
   if (bytes.size() < length) return 0;
-  if (out_of_range(first, static_cast<unsigned char>(bytes[1]))) return 0;
+  if (is_invalid_second_byte(first, static_cast<unsigned char>(bytes[1]))) return 0;
   const std::string_view rest = bytes.substr(1, length - 1);
-  return std::all_of(rest.begin(), rest.end(), continues) ? length : 0;
+  return std::all_of(rest.begin(), rest.end(), is_continuation_byte) ? length : 0;
 }
 
 }  // namespace
 
-std::string with_valid_utf8(std::string_view bytes) {
+std::string replace_invalid_utf8(std::string_view bytes) {
   std::string text;
   text.reserve(bytes.size());
   while (!bytes.empty()) {
-    const std::size_t length = character_length(bytes);
+    const std::size_t length = valid_prefix_length(bytes);
     if (length == 0) {
       text += '?';
       bytes.remove_prefix(1);
--- a/src/common/utf8.hpp
+++ b/src/common/utf8.hpp
@@ -8,6 +8,6 @@
 namespace shuntbank {
 
 /// @return the text with each byte that belongs to no UTF-8 character (RFC 3629) replaced by `?`.
-std::string with_valid_utf8(std::string_view bytes);
+std::string replace_invalid_utf8(std::string_view bytes);
 
 }  // namespace shuntbank
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -32,7 +32,7 @@
   const auto kind = parse_object_kind(kind_text);
   if (!kind) {
     if (!kind_text.empty()) {
-      reader.complain("kind", "'" + kind_text + "' is none of Engine, Service, Tenant, Policy");
+      reader.add_finding("kind", "'" + kind_text + "' is none of Engine, Service, Tenant, Policy");
     }
     return std::nullopt;
   }
@@ -77,7 +77,7 @@
   ConfigDocument next = current;
   next.revision = current.revision + 1;
   next.recent_writes.insert(next.recent_writes.begin(), write_id);
-  if (next.recent_writes.size() > kRecentWrites) next.recent_writes.resize(kRecentWrites);
+  if (next.recent_writes.size() > kMaxRecentWrites) next.recent_writes.resize(kMaxRecentWrites);
   for (const ObjectEdit& edit : edits) {
     const bool removed = !edit.spec.has_value();
     next.objects[edit.key] = {next.revision, removed, edit.spec.value_or(nlohmann::json::object())};
@@ -90,8 +90,8 @@
   return next;
 }
 
-ObjectEdit set_object(ObjectKind kind, const std::string& name, Revision base_version,
-                      nlohmann::json spec) {
+ObjectEdit make_set_edit(ObjectKind kind, const std::string& name, Revision base_version,
+                         nlohmann::json spec) {
   ObjectEdit edit;
   edit.key = {kind, name};
   edit.base_version = base_version;
@@ -117,14 +117,14 @@
   Findings findings;
   ConfigDocument document;
   FieldReader reader(json, "", findings);
-  document.revision = reader.whole("revision", 0, kMaxRevision);
+  document.revision = reader.unsigned_integer("revision", 0, kMaxRevision);
   document.recent_writes = reader.text_list("recent_writes");
   std::size_t index = 0;
   for (const nlohmann::json& item : reader.items("objects")) {
     FieldReader object_reader(item, "/objects/" + std::to_string(index++), findings);
     const auto key = read_key(object_reader);
     StoredObject object;
-    object.version = object_reader.whole("version", 0, kMaxRevision);
+    object.version = object_reader.unsigned_integer("version", 0, kMaxRevision);
     object.removed = item.is_object() && item.value("removed", false);
     object.spec = object_reader.object("spec");
     if (key) document.objects.emplace(*key, std::move(object));
@@ -153,7 +153,7 @@
     FieldReader edit_reader(item, "/edits/" + std::to_string(index++), findings);
     const auto key = read_key(edit_reader);
     ObjectEdit edit;
-    edit.base_version = edit_reader.whole("base_version", 0, kMaxRevision);
+    edit.base_version = edit_reader.unsigned_integer("base_version", 0, kMaxRevision);
     const bool has_spec = item.is_object() && item.contains("spec");
     if (has_spec) edit.spec = edit_reader.object("spec");
     edit_reader.finish();
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -56,7 +56,7 @@
 };
 
 /// Writes whose identifiers are remembered.
-constexpr std::size_t kRecentWrites = 64;
+constexpr std::size_t kMaxRecentWrites = 64;
 
 /// One wanted edit: a new spec, or none to remove the object.
 struct ObjectEdit {
@@ -66,8 +66,8 @@
 };
 
 /// @return an edit that gives an object a new spec.
-ObjectEdit set_object(ObjectKind kind, const std::string& name, Revision base_version,
-                      nlohmann::json spec);
+ObjectEdit make_set_edit(ObjectKind kind, const std::string& name, Revision base_version,
+                         nlohmann::json spec);
 
 /// Two operators changed the same object.
 struct EditConflict {
--- a/src/config/field_reader.cpp
+++ b/src/config/field_reader.cpp
@@ -25,14 +25,14 @@
   const std::string op = reader.text("operator", true);
   const auto parsed = parse_operator(op);
   if (!parsed && !op.empty()) {
-    reader.complain("operator", "'" + op + "' is none of In, NotIn, Exists, DoesNotExist");
+    reader.add_finding("operator", "'" + op + "' is none of In, NotIn, Exists, DoesNotExist");
   }
   expression.op = parsed.value_or(SelectorOperator::kIn);
   expression.values = reader.text_list("values");
   const bool needs_values =
       expression.op == SelectorOperator::kIn || expression.op == SelectorOperator::kNotIn;
   if (parsed && needs_values == expression.values.empty()) {
-    reader.complain("values", needs_values ? "needs at least one value" : "must be absent here");
+    reader.add_finding("values", needs_values ? "needs at least one value" : "must be absent here");
   }
   reader.finish();
   return expression;
@@ -48,26 +48,27 @@
 }
 
 const nlohmann::json* FieldReader::find(const std::string& key) {
-  known_.insert(key);
+  read_fields_.insert(key);
   const auto found = object_.find(key);
   return found == object_.end() ? nullptr : &*found;
 }
 
-void FieldReader::complain(const std::string& key, const std::string& message) {
+void FieldReader::add_finding(const std::string& key, const std::string& message) {
   findings_.add(place_of(key), message);
 }
 
 std::string FieldReader::text(const std::string& key, bool required) {
   const nlohmann::json* field = find(key);
   if (field == nullptr) {
-    if (required) complain(key, "is required");
+    if (required) add_finding(key, "is required");
     return {};
   }
   if (!field->is_string()) {
-    complain(key, "must be text");
+    add_finding(key, "must be text");
     return {};
   }
-  if (required && field->get_ref<const std::string&>().empty()) complain(key, "must not be empty");
+  if (required && field->get_ref<const std::string&>().empty())
+    add_finding(key, "must not be empty");
   return field->get<std::string>();
 }
 
@@ -77,19 +78,19 @@
   if (field->is_number() && field->get<double>() >= low && field->get<double>() <= high) {
     return field->get<double>();
   }
-  complain(key, "must be a number from " + nlohmann::json(low).dump() + " to " +
-                    nlohmann::json(high).dump());
+  add_finding(key, "must be a number from " + nlohmann::json(low).dump() + " to " +
+                       nlohmann::json(high).dump());
   return fallback;
 }
 
-std::uint64_t FieldReader::whole(const std::string& key, std::uint64_t fallback,
-                                 std::uint64_t high) {
+std::uint64_t FieldReader::unsigned_integer(const std::string& key, std::uint64_t fallback,
+                                            std::uint64_t high) {
   const nlohmann::json* field = find(key);
   if (field == nullptr) return fallback;
   if (field->is_number_unsigned() && field->get<std::uint64_t>() <= high) {
     return field->get<std::uint64_t>();
   }
-  complain(key, "must be a whole number from 0 to " + std::to_string(high));
+  add_finding(key, "must be a whole number from 0 to " + std::to_string(high));
   return fallback;
 }
 
@@ -101,8 +102,8 @@
       field->get<std::int64_t>() <= high) {
     return field->get<std::int64_t>();
   }
-  complain(key,
-           "must be a whole number from " + std::to_string(low) + " to " + std::to_string(high));
+  add_finding(key,
+              "must be a whole number from " + std::to_string(low) + " to " + std::to_string(high));
   return fallback;
 }
 
@@ -111,16 +112,16 @@
   const nlohmann::json* field = find(key);
   if (field == nullptr) return fallback;
   if (!field->is_string()) {
-    complain(key, "must be a duration as text, such as \"250ms\"");
+    add_finding(key, "must be a duration as text, such as \"250ms\"");
     return fallback;
   }
   const auto parsed = parse_duration(field->get_ref<const std::string&>());
   if (!parsed) {
-    complain(key, parsed.error());
+    add_finding(key, parsed.error());
     return fallback;
   }
   if (*parsed < low || *parsed > high) {
-    complain(key, "must be from " + format_duration(low) + " to " + format_duration(high));
+    add_finding(key, "must be from " + format_duration(low) + " to " + format_duration(high));
     return fallback;
   }
   return *parsed;
@@ -130,7 +131,7 @@
   const nlohmann::json* field = find(key);
   if (field == nullptr) return {};
   if (!field->is_array()) {
-    complain(key, "must be a list");
+    add_finding(key, "must be a list");
     return {};
   }
   return {field->begin(), field->end()};
@@ -142,7 +143,7 @@
     if (item.is_string() && !item.get_ref<const std::string&>().empty()) {
       list.push_back(item.get<std::string>());
     } else {
-      complain(key, "must be a list of non-empty text");
+      add_finding(key, "must be a list of non-empty text");
     }
   }
   return list;
@@ -157,7 +158,7 @@
       std::string field = key;
       field += "/";
       field += name;
-      complain(field, "must be text");
+      add_finding(field, "must be text");
     }
   }
   return labels;
@@ -167,7 +168,7 @@
   const nlohmann::json* field = find(key);
   if (field == nullptr) return kEmptyObject;
   if (field->is_object()) return *field;
-  complain(key, "must be an object");
+  add_finding(key, "must be an object");
   return kEmptyObject;
 }
 
@@ -188,7 +189,7 @@
 
 void FieldReader::finish() {
   for (const auto& [key, value] : object_.items()) {
-    if (!known_.contains(key)) complain(key, "is not a known field");
+    if (!read_fields_.contains(key)) add_finding(key, "is not a known field");
   }
 }
 
--- a/src/config/field_reader.hpp
+++ b/src/config/field_reader.hpp
@@ -30,7 +30,8 @@
 
   /// @return the whole number within [0, high], or `fallback` when absent or (with a finding)
   /// wrong.
-  std::uint64_t whole(const std::string& key, std::uint64_t fallback, std::uint64_t high);
+  std::uint64_t unsigned_integer(const std::string& key, std::uint64_t fallback,
+                                 std::uint64_t high);
 
   /// @return the whole number within [low, high], or `fallback`.
   std::int64_t integer(const std::string& key, std::int64_t fallback, std::int64_t low,
@@ -50,7 +51,7 @@
   const nlohmann::json& object(const std::string& key);
 
   /// Records a finding at a field.
-  void complain(const std::string& key, const std::string& message);
+  void add_finding(const std::string& key, const std::string& message);
 
   /// @return the place of a field.
   std::string place_of(const std::string& key) const { return place_ + "/" + key; }
@@ -64,7 +65,7 @@
   const nlohmann::json& object_;
   std::string place_;
   Findings& findings_;
-  std::set<std::string> known_;
+  std::set<std::string> read_fields_;
 };
 
 }  // namespace shuntbank
--- a/src/config/key_index.cpp
+++ b/src/config/key_index.cpp
@@ -20,10 +20,10 @@
 bool KeyIndex::add(const TenantName& tenant, const TenantKey& key) {
   const std::string bucket = bucket_of(key.sha256);
   const auto [first, last] = keys_.equal_range(bucket);
-  const auto held = std::find_if(
+  const auto existing = std::find_if(
       first, last, [&key](const auto& entry) { return entry.second.key.sha256 == key.sha256; });
-  if (held != last) {
-    held->second.ambiguous = true;
+  if (existing != last) {
+    existing->second.ambiguous = true;
     return false;
   }
   keys_.emplace(bucket, Entry{tenant, key});
--- a/src/config/object_codec.cpp
+++ b/src/config/object_codec.cpp
@@ -13,8 +13,8 @@
 constexpr std::int64_t kMaxPriority = 1000;
 constexpr std::size_t kMaxTenantKeys = 2;
 constexpr std::size_t kSha256Digits = 64;
-constexpr Duration kShortest = std::chrono::milliseconds(1);
-constexpr Duration kLongest = std::chrono::hours(1);
+constexpr Duration kMinDuration = std::chrono::milliseconds(1);
+constexpr Duration kMaxDuration = std::chrono::hours(1);
 
 bool is_ip_and_port(const std::string& text) {
   const std::size_t colon = text.rfind(':');
@@ -35,7 +35,7 @@
   engine.name = EngineId(name);
   engine.address = reader.text("address", true);
   if (!engine.address.empty() && !is_ip_and_port(engine.address)) {
-    reader.complain("address", "must have the form IP:PORT with an IP number");
+    reader.add_finding("address", "must have the form IP:PORT with an IP number");
   }
   engine.zone = ZoneName(reader.text("zone", true));
   engine.labels = reader.labels("labels");
@@ -55,7 +55,7 @@
 ServiceKind read_service_kind(FieldReader& reader) {
   const std::string text = reader.text("kind", true);
   if (text == "plain") return ServiceKind::kPlain;
-  if (text != "model" && !text.empty()) reader.complain("kind", "must be model or plain");
+  if (text != "model" && !text.empty()) reader.add_finding("kind", "must be model or plain");
   return ServiceKind::kModel;
 }
 
@@ -71,12 +71,13 @@
   }
   const bool needs_models = service.kind == ServiceKind::kModel;
   if (needs_models == service.models.empty()) {
-    reader.complain("models", needs_models ? "needs at least one model" : "must be absent here");
+    reader.add_finding("models", needs_models ? "needs at least one model" : "must be absent here");
   }
   for (const std::string& text : reader.text_list("allowed_roles")) {
     const auto role = parse_engine_role(text);
     if (role) service.allowed_roles.push_back(*role);
-    if (!role) reader.complain("allowed_roles", "'" + text + "' is none of mixed, prefill, decode");
+    if (!role)
+      reader.add_finding("allowed_roles", "'" + text + "' is none of mixed, prefill, decode");
   }
   return service;
 }
@@ -87,7 +88,7 @@
   TenantKey key;
   key.sha256 = reader.text("sha256", true);
   if (!key.sha256.empty() && !is_sha256(key.sha256)) {
-    reader.complain("sha256", "must be 64 lower-case hexadecimal digits");
+    reader.add_finding("sha256", "must be 64 lower-case hexadecimal digits");
   }
   constexpr std::int64_t kNever = std::numeric_limits<std::int64_t>::max();
   const std::int64_t expires = reader.integer("expires_at", kNever, 1, kNever);
@@ -107,7 +108,7 @@
     tenant.keys.push_back(read_tenant_key(item, place, findings));
   }
   if (tenant.keys.size() > kMaxTenantKeys) {
-    reader.complain("keys", "holds more than two keys; remove the oldest");
+    reader.add_finding("keys", "holds more than two keys; remove the oldest");
   }
   return tenant;
 }
@@ -118,11 +119,12 @@
   FieldReader reader(item, place, findings);
   TenantLimits limits;
   limits.requests_per_minute =
-      static_cast<std::uint32_t>(reader.whole("requests_per_minute", 0, kMaxCount));
-  limits.tokens_per_minute = reader.whole("tokens_per_minute", 0, kMaxTokens);
+      static_cast<std::uint32_t>(reader.unsigned_integer("requests_per_minute", 0, kMaxCount));
+  limits.tokens_per_minute = reader.unsigned_integer("tokens_per_minute", 0, kMaxTokens);
   limits.concurrent_requests =
-      static_cast<std::uint32_t>(reader.whole("concurrent_requests", 0, kMaxCount));
-  limits.queue_length = static_cast<std::uint32_t>(reader.whole("queue_length", 0, kMaxCount));
+      static_cast<std::uint32_t>(reader.unsigned_integer("concurrent_requests", 0, kMaxCount));
+  limits.queue_length =
+      static_cast<std::uint32_t>(reader.unsigned_integer("queue_length", 0, kMaxCount));
   reader.finish();
   return limits;
 }
@@ -131,9 +133,10 @@
                             Findings& findings) {
   FieldReader reader(item, place, findings);
   LatencyTargets targets;
-  targets.first_token = reader.duration("first_token", targets.first_token, kShortest, kLongest);
+  targets.first_token =
+      reader.duration("first_token", targets.first_token, kMinDuration, kMaxDuration);
   targets.between_tokens =
-      reader.duration("between_tokens", targets.between_tokens, kShortest, kLongest);
+      reader.duration("between_tokens", targets.between_tokens, kMinDuration, kMaxDuration);
   reader.finish();
   return targets;
 }
@@ -149,7 +152,8 @@
   policy.targets = read_targets(reader.object("targets"), reader.place_of("targets"), findings);
   policy.role_change_cost =
       reader.number("role_change_cost", policy.role_change_cost, 0, kMaxRoleChangeCost);
-  policy.drain_bound = reader.duration("drain_bound", policy.drain_bound, kShortest, kLongest);
+  policy.drain_bound =
+      reader.duration("drain_bound", policy.drain_bound, kMinDuration, kMaxDuration);
   return policy;
 }
 
--- a/src/config/option_set.cpp
+++ b/src/config/option_set.cpp
@@ -72,8 +72,8 @@
   });
 }
 
-void OptionSet::add_texts(const std::string& name, std::vector<std::string>& target,
-                          const std::string& help) {
+void OptionSet::add_text_list(const std::string& name, std::vector<std::string>& target,
+                              const std::string& help) {
   add(name, help + " May be repeated.", "",
       [&target](const std::string& text) -> tl::expected<void, std::string> {
         if (text.empty()) return tl::make_unexpected("must not be empty");
@@ -83,8 +83,8 @@
   options_.back().is_list = true;
 }
 
-void OptionSet::add_whole(const std::string& name, std::uint64_t& target, std::uint64_t low,
-                          std::uint64_t high, const std::string& help) {
+void OptionSet::add_unsigned(const std::string& name, std::uint64_t& target, std::uint64_t low,
+                             std::uint64_t high, const std::string& help) {
   add(name, help, std::to_string(target), [&target, low, high](const std::string& text) {
     return store(target, parse_number<std::uint64_t>(text, low, high));
   });
@@ -136,9 +136,9 @@
   find(name)->required = true;
 }
 
-void OptionSet::accept_words(std::vector<std::string>& target, const std::string& help) {
-  words_ = &target;
-  words_help_ = help;
+void OptionSet::accept_positional(std::vector<std::string>& target, const std::string& help) {
+  positional_ = &target;
+  positional_help_ = help;
 }
 
 OptionSet::Option* OptionSet::find(const std::string& name) {
@@ -149,7 +149,7 @@
 
 Findings OptionSet::parse(const std::vector<std::string>& arguments) {
   Findings findings;
-  parse_flags(arguments, findings);
+  parse_command_line(arguments, findings);
   if (!settings_path_.empty()) parse_file(settings_path_, findings);
   if (help_ || version_) return {};
   for (const Option& option : options_) {
@@ -158,7 +158,7 @@
   return findings;
 }
 
-void OptionSet::parse_flags(const std::vector<std::string>& arguments, Findings& findings) {
+void OptionSet::parse_command_line(const std::vector<std::string>& arguments, Findings& findings) {
   po::options_description description;
   for (const Option& option : options_) {
     auto* value = option.is_flag ? po::value<std::string>()->implicit_value("true")
@@ -170,19 +170,19 @@
   const int style = Style::allow_long | Style::long_allow_adjacent | Style::long_allow_next;
   // Each argument group is parsed alone: the library stops at the first error otherwise.
   for (std::size_t i = 0; i < arguments.size(); ++i) {
-    const std::string& word = arguments[i];
-    if (word.rfind("--", 0) != 0) {
-      if (words_ != nullptr) words_->push_back(word);
-      if (words_ == nullptr) findings.add(kCommandLine, "'" + word + "' is not an option");
+    const std::string& argument = arguments[i];
+    if (argument.rfind("--", 0) != 0) {
+      if (positional_ != nullptr) positional_->push_back(argument);
+      if (positional_ == nullptr) findings.add(kCommandLine, "'" + argument + "' is not an option");
       continue;
     }
-    const std::size_t equals = word.find('=');
-    Option* option = find(word.substr(2, equals == std::string::npos ? equals : equals - 2));
+    const std::size_t equals = argument.find('=');
+    Option* option = find(argument.substr(2, equals == std::string::npos ? equals : equals - 2));
     if (option == nullptr) {
-      findings.add(kCommandLine, "'" + word + "' is not a known option");
+      findings.add(kCommandLine, "'" + argument + "' is not a known option");
       continue;
     }
-    std::vector<std::string> group{word};
+    std::vector<std::string> group{argument};
     const bool takes_next = equals == std::string::npos && !option->is_flag;
     if (takes_next && i + 1 < arguments.size()) group.push_back(arguments[++i]);
     try {
@@ -240,7 +240,7 @@
 OptionsOutcome OptionSet::read(const std::vector<std::string>& arguments, std::ostream& output,
                                std::ostream& errors, const std::function<Findings()>& check) {
   Findings findings = parse(arguments);
-  if (check) findings.absorb(check(), "");
+  if (check) findings.append(check(), "");
   if (help_) {
     print_help(output);
     return {false, ExitCode::kSuccess};
@@ -262,7 +262,7 @@
 
 void OptionSet::print_help(std::ostream& output) const {
   output << "usage: " << usage_ << "\n";
-  if (words_ != nullptr) output << "  " << words_help_ << "\n";
+  if (positional_ != nullptr) output << "  " << positional_help_ << "\n";
   output << "\noptions:\n";
   for (const Option& option : options_) {
     output << "  --" << option.name << (option.is_flag ? "" : " VALUE") << "\n      "
--- a/src/config/option_set.hpp
+++ b/src/config/option_set.hpp
@@ -44,10 +44,10 @@
            Setter setter);
 
   void add_text(const std::string& name, std::string& target, const std::string& help);
-  void add_texts(const std::string& name, std::vector<std::string>& target,
-                 const std::string& help);
-  void add_whole(const std::string& name, std::uint64_t& target, std::uint64_t low,
-                 std::uint64_t high, const std::string& help);
+  void add_text_list(const std::string& name, std::vector<std::string>& target,
+                     const std::string& help);
+  void add_unsigned(const std::string& name, std::uint64_t& target, std::uint64_t low,
+                    std::uint64_t high, const std::string& help);
   void add_number(const std::string& name, double& target, double low, double high,
                   const std::string& help);
   void add_duration(const std::string& name, Duration& target, Duration low, Duration high,
@@ -60,7 +60,7 @@
   void require(const std::string& name);
 
   /// Accepts words that are not options, such as file names.
-  void accept_words(std::vector<std::string>& target, const std::string& help);
+  void accept_positional(std::vector<std::string>& target, const std::string& help);
 
   /// Reads the command line and the file that `--settings` names; flags go before the file.
   /// Answers `--help`, `--version` and `--check-settings` itself and reports all findings.
@@ -85,7 +85,7 @@
   };
 
   Option* find(const std::string& name);
-  void parse_flags(const std::vector<std::string>& arguments, Findings& findings);
+  void parse_command_line(const std::vector<std::string>& arguments, Findings& findings);
   void parse_file(const std::string& path, Findings& findings);
   void parse_line(const std::string& line, const std::string& place, Findings& findings);
   void apply(Option& option, const std::string& value, const std::string& place,
@@ -93,8 +93,8 @@
 
   std::string usage_;
   std::vector<Option> options_;
-  std::vector<std::string>* words_ = nullptr;
-  std::string words_help_;
+  std::vector<std::string>* positional_ = nullptr;
+  std::string positional_help_;
   std::string settings_path_;
   bool help_ = false;
   bool version_ = false;
--- a/src/config/selector.cpp
+++ b/src/config/selector.cpp
@@ -5,18 +5,18 @@
 namespace shuntbank {
 namespace {
 
-bool meets(const SelectorExpression& expression, const Labels& labels) {
+bool satisfies(const SelectorExpression& expression, const Labels& labels) {
   const auto label = labels.find(expression.key);
   const bool exists = label != labels.end();
-  const auto listed = [&] {
+  const auto value_listed = [&] {
     return std::find(expression.values.begin(), expression.values.end(), label->second) !=
            expression.values.end();
   };
   switch (expression.op) {
     case SelectorOperator::kIn:
-      return exists && listed();
+      return exists && value_listed();
     case SelectorOperator::kNotIn:
-      return !exists || !listed();
+      return !exists || !value_listed();
     case SelectorOperator::kExists:
       return exists;
     case SelectorOperator::kDoesNotExist:
@@ -34,7 +34,7 @@
   }
   return std::all_of(
       match_expressions.begin(), match_expressions.end(),
-      [&](const SelectorExpression& expression) { return meets(expression, labels); });
+      [&](const SelectorExpression& expression) { return satisfies(expression, labels); });
 }
 
 }  // namespace shuntbank
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -49,7 +49,7 @@
 }
 
 void add_files(OptionSet& set, CtlOptions& options) {
-  set.add_texts("file", options.files, "File or folder of declared objects; also -f.");
+  set.add_text_list("file", options.files, "File or folder of declared objects; also -f.");
 }
 
 /// Calls the node. @return the answer's JSON and status, or nothing after an error was printed.
@@ -323,7 +323,7 @@
 
 void define_words(OptionSet& set, CtlOptions& options, const std::string& help) {
   add_node(set, options);
-  set.accept_words(options.words, help);
+  set.accept_positional(options.words, help);
 }
 
 std::map<std::string, Command> make_commands() {
--- a/src/ctl/declared_files.cpp
+++ b/src/ctl/declared_files.cpp
@@ -35,7 +35,7 @@
   reader.finish();
   const auto kind = parse_object_kind(kind_text);
   if (!kind && !kind_text.empty()) {
-    reader.complain("kind", "'" + kind_text + "' is none of Engine, Service, Tenant, Policy");
+    reader.add_finding("kind", "'" + kind_text + "' is none of Engine, Service, Tenant, Policy");
   }
   if (!kind || name.empty()) return;
   const ObjectKey key{*kind, name};
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -29,10 +29,10 @@
 void add_limits(OptionSet& options, NodeSettings& settings) {
   options.add_byte_size("max-body", settings.max_body, 1024, 64UL << 20U,
                         "Largest request body of a caller.");
-  options.add_whole("max-connections", settings.max_connections, 1, kMaxCount,
-                    "Most connections of callers at once.");
-  options.add_whole("max-json-depth", settings.max_json_depth, 4, 512,
-                    "Deepest nesting of a caller's JSON.");
+  options.add_unsigned("max-connections", settings.max_connections, 1, kMaxCount,
+                       "Most connections of callers at once.");
+  options.add_unsigned("max-json-depth", settings.max_json_depth, 4, 512,
+                       "Deepest nesting of a caller's JSON.");
   options.add_duration("request-deadline", settings.request_deadline, seconds(1), hours(1),
                        "Longest time for a request, from its arrival.");
   options.add_duration("queue-deadline", settings.queue_deadline, milliseconds(10), minutes(10),
@@ -46,22 +46,22 @@
 }
 
 void add_behaviour(OptionSet& options, NodeSettings& settings) {
-  options.add_whole("max-attempts", settings.max_attempts, 1, 10,
-                    "Most dispatches of one request.");
+  options.add_unsigned("max-attempts", settings.max_attempts, 1, 10,
+                       "Most dispatches of one request.");
   options.add_number("retry-share", settings.retry_share, 0, 1,
                      "Retries allowed, as a share of requests.");
-  options.add_whole("engine-window", settings.engine_window, 1, kMaxCount,
-                    "Requests in flight to one engine, all nodes together.");
-  options.add_whole("max-queue", settings.max_queue, 0, kMaxCount,
-                    "Most requests that wait for an engine on this node, for each service.");
+  options.add_unsigned("engine-window", settings.engine_window, 1, kMaxCount,
+                       "Requests in flight to one engine, all nodes together.");
+  options.add_unsigned("max-queue", settings.max_queue, 0, kMaxCount,
+                       "Most requests that wait for an engine on this node, for each service.");
   options.add_duration("leave-grace", settings.leave_grace, Duration(0), minutes(10),
                        "After a signal to stop: time to go on taking requests while others learn.");
   options.add_duration("lease-length", settings.lease_length, seconds(1), minutes(5),
                        "Length of a controller lease.");
   options.add_duration("claim-retention", settings.claim_retention, seconds(10), hours(24),
                        "How long an idempotency key is remembered.");
-  options.add_whole("seed", settings.seed, 0, UINT64_MAX,
-                    "Seed of random choices; 0: from the system's generator.");
+  options.add_unsigned("seed", settings.seed, 0, UINT64_MAX,
+                       "Seed of random choices; 0: from the system's generator.");
 }
 
 }  // namespace
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -173,7 +173,7 @@
     metrics.set_gauge("callers_rejected", static_cast<double>(callers_.stats().rejected));
     metrics.set_gauge("engine_connections_opened", static_cast<double>(http_.stats().opened));
     metrics.set_gauge("engine_surplus_answers", static_cast<double>(http_.stats().surplus_answers));
-    metrics.set_gauge("log_lines_left_out", static_cast<double>(log_lines_left_out()));
+    metrics.set_gauge("log_lines_left_out", static_cast<double>(dropped_log_lines()));
     metrics.set_gauge("configuration_age_seconds", to_seconds(catalog_.configuration_age()));
     metrics.set_gauge("engines_age_seconds", to_seconds(catalog_.engines_age()));
     if (exchange_) show_exchange(metrics);
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -150,28 +150,28 @@
   std::vector<ObjectEdit> edits;
   for (int i = 0; i < settings.engines; ++i) {
     const json labels{{"service", numbered("s", i % settings.models)}};
-    edits.push_back(set_object(ObjectKind::kEngine, numbered("e", i), 0,
-                               {{"address", engine_address(i)},
-                                {"zone", numbered("z", i % settings.zones)},
-                                {"labels", labels}}));
+    edits.push_back(make_set_edit(ObjectKind::kEngine, numbered("e", i), 0,
+                                  {{"address", engine_address(i)},
+                                   {"zone", numbered("z", i % settings.zones)},
+                                   {"labels", labels}}));
   }
   for (int i = 0; i < settings.models; ++i) {
     const json models = json::array({{{"name", numbered("m", i)}, {"version", "1"}}});
     json roles = json::array({"mixed"});
     if (settings.split_roles) roles = {"mixed", "prefill", "decode"};
     edits.push_back(
-        set_object(ObjectKind::kService, numbered("s", i), 0,
-                   {{"kind", "model"},
-                    {"engine_selector", {{"match_labels", {{"service", numbered("s", i)}}}}},
-                    {"models", models},
-                    {"allowed_roles", roles}}));
+        make_set_edit(ObjectKind::kService, numbered("s", i), 0,
+                      {{"kind", "model"},
+                       {"engine_selector", {{"match_labels", {{"service", numbered("s", i)}}}}},
+                       {"models", models},
+                       {"allowed_roles", roles}}));
   }
   for (int i = 0; i < settings.tenants; ++i) {
     const std::string key = i == 0 ? kKey : numbered(kKey, i);
-    edits.push_back(set_object(ObjectKind::kTenant, numbered("t", i), 0,
-                               {{"keys", json::array({{{"sha256", sha256_hex(key)}}})}}));
+    edits.push_back(make_set_edit(ObjectKind::kTenant, numbered("t", i), 0,
+                                  {{"keys", json::array({{{"sha256", sha256_hex(key)}}})}}));
   }
-  edits.push_back(set_object(ObjectKind::kPolicy, "p", 0, {{"drain_bound", "5s"}}));
+  edits.push_back(make_set_edit(ObjectKind::kPolicy, "p", 0, {{"drain_bound", "5s"}}));
   return to_json(edits);
 }
 
@@ -316,8 +316,8 @@
   request.method = "POST";
   request.url = "http://" + node_address(node) + "/v1/config/changes";
   request.body =
-      to_json(std::vector<ObjectEdit>{set_object(ObjectKind::kTenant, tenant, 0,
-                                                 {{"weight", static_cast<double>(++edits_)}})})
+      to_json(std::vector<ObjectEdit>{make_set_edit(ObjectKind::kTenant, tenant, 0,
+                                                    {{"weight", static_cast<double>(++edits_)}})})
           .dump();
   request.total_timeout = std::chrono::seconds(20);
   caller_http_->fetch(std::move(request), [this, tenant](const auto& reply) {
--- a/tests/common/log_output_test.cpp
+++ b/tests/common/log_output_test.cpp
@@ -23,36 +23,36 @@
 
 }  // namespace
 
-Test(log_output, never_waits_for_a_reader_that_has_stopped) {
+Test(log_output, does_not_block_on_a_stalled_reader) {
   Pipe pipe;
   LogOutput output(pipe.ends[1]);
   const std::string line(1000, 'x');
   int written = 0;
   // Far more than a pipe holds; a call that waited would never come back.
   for (int i = 0; i < 2000; ++i)
-    written += output.write(kNow, LogImportance::kTrouble, line) ? 1 : 0;
+    written += output.write(kNow, LogImportance::kProblem, line) ? 1 : 0;
   cr_assert_gt(written, 0);
   cr_assert_lt(written, 2000);
-  cr_assert_eq(output.left_out(), 2000 - written);
+  cr_assert_eq(output.dropped_lines(), 2000 - written);
   std::array<char, 65536> buffer{};
   cr_assert_gt(read(pipe.ends[0], buffer.data(), buffer.size()), 0);
-  cr_assert(output.write(kNow, LogImportance::kTrouble, line), "goes on once there is room");
+  cr_assert(output.write(kNow, LogImportance::kProblem, line), "goes on once there is room");
 }
 
-Test(log_output, leaves_steps_out_first_and_trouble_never) {
+Test(log_output, drops_steps_first_and_never_problems) {
   Pipe pipe;
   LogOutput output(pipe.ends[1]);
   output.set_limits({3, 5});
   int steps = 0;
   int outcomes = 0;
-  int troubles = 0;
+  int problems = 0;
   for (int i = 0; i < 10; ++i) {
     steps += output.write(kNow, LogImportance::kStep, "s") ? 1 : 0;
     outcomes += output.write(kNow, LogImportance::kOutcome, "o") ? 1 : 0;
-    troubles += output.write(kNow, LogImportance::kTrouble, "t") ? 1 : 0;
+    problems += output.write(kNow, LogImportance::kProblem, "t") ? 1 : 0;
   }
   cr_assert_eq(steps, 3);
   cr_assert_eq(outcomes, 2);
-  cr_assert_eq(troubles, 10);
+  cr_assert_eq(problems, 10);
   cr_assert(output.write(kNow + 1s, LogImportance::kStep, "s"), "the next second has room again");
 }
--- a/tests/common/units_test.cpp
+++ b/tests/common/units_test.cpp
@@ -12,7 +12,7 @@
   cr_assert_eq(*parse_byte_size("512"), 512);
 }
 
-Test(units, refuses_what_is_badly_written) {
+Test(units, rejects_malformed_text) {
   for (const char* text : {"", "5", "ms", "-5s", "5 s", "5S", "1.5s", "5sec", "9999999999999h"}) {
     cr_assert(!parse_duration(text), "accepted '%s'", text);
   }
@@ -21,7 +21,7 @@
   }
 }
 
-Test(units, formats_what_it_parses) {
+Test(units, duration_round_trips_through_text) {
   SHUNTBANK_PROPERTY("parse(format(d)) == d", [] {
     const Duration duration(*rc::gen::inRange<std::int64_t>(0, 1'000'000'000'000));
     RC_ASSERT(*parse_duration(format_duration(duration)) == duration);
--- a/tests/config/document_test.cpp
+++ b/tests/config/document_test.cpp
@@ -28,23 +28,23 @@
   cr_assert_eq(second.error().findings.items()[0].place, "Tenant/b/weight");
 }
 
-Test(document, names_both_versions_in_a_race) {
+Test(document, reports_both_versions_of_a_conflict) {
   const auto first = apply_edits({}, {edit("a", 0, 1)}, "w1");
   const auto second = apply_edits(*first, {edit("a", 1, 2)}, "w2");
-  const auto late = apply_edits(*second, {edit("a", 1, 3)}, "w3");
-  cr_assert(!late.has_value());
-  cr_assert_eq(late.error().conflicts.size(), 1);
-  cr_assert_eq(late.error().conflicts[0].base_version, 1);
-  cr_assert_eq(late.error().conflicts[0].current_version, 2);
+  const auto stale = apply_edits(*second, {edit("a", 1, 3)}, "w3");
+  cr_assert(!stale.has_value());
+  cr_assert_eq(stale.error().conflicts.size(), 1);
+  cr_assert_eq(stale.error().conflicts[0].base_version, 1);
+  cr_assert_eq(stale.error().conflicts[0].current_version, 2);
 }
 
-Test(document, lets_edits_of_other_objects_pass) {
+Test(document, accepts_edits_of_other_objects) {
   const auto first = apply_edits({}, {edit("a", 0, 1)}, "w1");
   const auto second = apply_edits(*first, {edit("b", 0, 1)}, "w2");
   cr_assert(apply_edits(*second, {edit("a", 1, 2)}, "w3").has_value());
 }
 
-Test(document, remembers_recent_writes_and_removals) {
+Test(document, records_recent_writes_and_removals) {
   auto document = *apply_edits({}, {edit("a", 0, 1)}, "w1");
   document = *apply_edits(document, {{tenant("a"), 1, std::nullopt}}, "w2");
   cr_assert(document.contains_write("w1") && document.contains_write("w2"));
@@ -53,7 +53,7 @@
   cr_assert(apply_edits(document, {edit("a", 0, 3)}, "w4").has_value());
 }
 
-Test(document, merging_changes_gives_the_whole) {
+Test(document, merging_changes_gives_the_newer_document) {
   SHUNTBANK_PROPERTY("old + changes_since(old) == new", [] {
     ConfigDocument document;
     std::vector<ConfigDocument> history{document};
@@ -85,7 +85,7 @@
   cr_assert_eq(snapshot.error().items().size(), 5, "%s", snapshot.error().to_text().c_str());
 }
 
-Test(snapshot, refuses_an_engine_in_two_services) {
+Test(snapshot, rejects_an_engine_in_two_services) {
   ConfigDocument document;
   document.objects[{ObjectKind::kEngine, "e"}] = {
       1, false, {{"address", "127.0.0.1:1"}, {"zone", "z"}, {"labels", {{"a", "b"}}}}};
@@ -95,7 +95,7 @@
   cr_assert(!Snapshot::build(document).has_value());
 }
 
-Test(snapshot, accepts_two_keys_until_the_old_one_ends) {
+Test(snapshot, accepts_both_keys_until_the_old_one_expires) {
   ConfigDocument document;
   const json keys = json::array(
       {{{"sha256", "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"},
--- a/tests/config/option_set_test.cpp
+++ b/tests/config/option_set_test.cpp
@@ -27,7 +27,7 @@
   options.add_text("name", parsed.name, "A name.");
   options.require("name");
   options.add_duration("wait", parsed.wait, 1ms, 1h, "A wait.");
-  options.add_whole("count", parsed.count, 1, 9, "A count.");
+  options.add_unsigned("count", parsed.count, 1, 9, "A count.");
   std::ostringstream output;
   std::ostringstream errors;
   parsed.outcome = options.read(arguments, output, errors);
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-Test(option_set, reads_flags) {
+Test(option_set, parses_command_line_options) {
   const Parsed parsed = parse({"--name", "n", "--wait=250ms", "--count", "3"});
   cr_assert(parsed.outcome.run, "%s", parsed.errors.c_str());
   cr_assert(parsed.name == "n" && parsed.wait == 250ms && parsed.count == 3);
@@ -59,7 +59,7 @@
   cr_assert_eq(count_lines(parsed.errors), 5, "%s", parsed.errors.c_str());
 }
 
-Test(option_set, names_file_and_line) {
+Test(option_set, reports_file_and_line) {
   const std::string path = write_settings("name = n\nwait = 5\n\nspeed = 1\n");
   const Parsed parsed = parse({"--settings", path});
   std::remove(path.c_str());
@@ -68,14 +68,14 @@
   cr_assert_neq(parsed.errors.find(":4: 'speed'"), std::string::npos, "%s", parsed.errors.c_str());
 }
 
-Test(option_set, flags_go_before_the_file) {
+Test(option_set, command_line_overrides_the_file) {
   const std::string path = write_settings("name = file\ncount = 5\n");
   const Parsed parsed = parse({"--name", "flag", "--settings", path});
   std::remove(path.c_str());
   cr_assert(parsed.outcome.run && parsed.name == "flag" && parsed.count == 5);
 }
 
-Test(option_set, answers_help_and_version) {
+Test(option_set, handles_help_and_version) {
   cr_assert(!parse({"--help"}).outcome.run);
   cr_assert_eq(parse({"--version"}).outcome.code, ExitCode::kSuccess);
 }
--- a/tests/process/support/site.cpp
+++ b/tests/process/support/site.cpp
@@ -78,26 +78,28 @@
   std::vector<ObjectEdit> edits;
   for (int i = 0; i < shape.engines + shape.plain_engines; ++i) {
     const std::string service = i < shape.engines ? "model" : "plain";
-    edits.push_back(set_object(ObjectKind::kEngine, "e" + std::to_string(i), 0,
-                               json{{"address", engine(static_cast<std::size_t>(i))},
-                                    {"zone", "z" + std::to_string(i % 3)},
-                                    {"labels", {{"service", service}}}}));
+    edits.push_back(make_set_edit(ObjectKind::kEngine, "e" + std::to_string(i), 0,
+                                  json{{"address", engine(static_cast<std::size_t>(i))},
+                                       {"zone", "z" + std::to_string(i % 3)},
+                                       {"labels", {{"service", service}}}}));
   }
   const auto selector = [](const char* service) {
     return json{{"match_labels", {{"service", service}}}};
   };
-  edits.push_back(set_object(ObjectKind::kService, "model", 0,
-                             json{{"kind", "model"},
-                                  {"engine_selector", selector("model")},
-                                  {"models", json::array({{{"name", kModel}, {"version", "1"}}})},
-                                  {"allowed_roles", shape.allowed_roles}}));
-  edits.push_back(set_object(ObjectKind::kService, "plain", 0,
-                             json{{"kind", "plain"}, {"engine_selector", selector("plain")}}));
-  edits.push_back(set_object(ObjectKind::kTenant, "t", 0,
-                             json{{"keys", json::array({{{"sha256", sha256_hex(kTenantKey)}}})}}));
   edits.push_back(
-      set_object(ObjectKind::kTenant, "other", 0,
-                 json{{"keys", json::array({{{"sha256", sha256_hex(kOtherTenantKey)}}})}}));
+      make_set_edit(ObjectKind::kService, "model", 0,
+                    json{{"kind", "model"},
+                         {"engine_selector", selector("model")},
+                         {"models", json::array({{{"name", kModel}, {"version", "1"}}})},
+                         {"allowed_roles", shape.allowed_roles}}));
+  edits.push_back(make_set_edit(ObjectKind::kService, "plain", 0,
+                                json{{"kind", "plain"}, {"engine_selector", selector("plain")}}));
+  edits.push_back(
+      make_set_edit(ObjectKind::kTenant, "t", 0,
+                    json{{"keys", json::array({{{"sha256", sha256_hex(kTenantKey)}}})}}));
+  edits.push_back(
+      make_set_edit(ObjectKind::kTenant, "other", 0,
+                    json{{"keys", json::array({{{"sha256", sha256_hex(kOtherTenantKey)}}})}}));
   const Reply reply = change(0, edits);
   cr_assert_eq(reply.status, 200, "%s", reply.body.c_str());
   cr_assert(eventually([this] {
@@ -113,7 +115,7 @@
 }
 
 Reply Site::set_weight(std::size_t node, const std::string& tenant, Revision base, double weight) {
-  return change(node, {set_object(ObjectKind::kTenant, tenant, base, json{{"weight", weight}})});
+  return change(node, {make_set_edit(ObjectKind::kTenant, tenant, base, json{{"weight", weight}})});
 }
 
 json Site::completion(const std::string& prompt, int tokens, bool stream) {
--- a/tests/process/whole_path_test.cpp
+++ b/tests/process/whole_path_test.cpp
@@ -179,8 +179,8 @@
   SiteShape shape;
   shape.nodes = 1;
   Site site(shape);
-  site.change(
-      0, {set_object(ObjectKind::kPolicy, "p", 0, json{{"limits", {{"requests_per_minute", 6}}}})});
+  site.change(0, {make_set_edit(ObjectKind::kPolicy, "p", 0,
+                                json{{"limits", {{"requests_per_minute", 6}}}})});
   cr_assert(eventually([&] {
     const Reply reply = site.ask(0, Site::completion("x", 1));
     if (reply.status == 200) return false;
