--- a/src/common/findings.hpp
+++ b/src/common/findings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Findings: problems in input, collected with their place and reported together.
+/// Findings: problems found in input, each with its place, collected and reported together.
 #pragma once
 
 #include <string>
@@ -10,22 +10,22 @@
 /// One problem in input.
 struct Finding {
   std::string place;    ///< Where: file, line, option or JSON pointer.
-  std::string message;  ///< What is wrong and what would be right.
+  std::string message;  ///< What is wrong, and what is accepted instead.
 };
 
-/// An ordered collection of findings. Empty means that the input is accepted.
+/// An ordered list of findings. If it is empty, the input is accepted.
 class Findings {
  public:
-  /// Records one problem at `place`.
+  /// Adds one problem at `place`.
   void add(std::string place, std::string message);
 
-  /// Takes over all findings of `other`, each place prefixed by `prefix`.
+  /// Appends all findings of `other`, each place prefixed by `prefix`.
   void append(const Findings& other, const std::string& prefix);
 
   bool empty() const { return items_.empty(); }
   const std::vector<Finding>& items() const { return items_; }
 
-  /// @return one line a finding: `place: message`.
+  /// @return one line per finding: `place: message`.
   std::string to_text() const;
 
  private:
--- a/src/common/hash.cpp
+++ b/src/common/hash.cpp
@@ -34,7 +34,7 @@
 }
 
 double hash_fraction(std::string_view text, std::uint64_t seed) {
-  constexpr double kRange = 18446744073709551616.0;  // 2 to the 64th.
+  constexpr double kRange = 18446744073709551616.0;  // 2^64
   return static_cast<double>(hash64(text, seed)) / kRange;
 }
 
--- a/src/common/hash.hpp
+++ b/src/common/hash.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Hashing by library: xxHash for placement, SHA-256 for tenant keys and the identity of requests,
-/// random identifiers.
+/// Hash functions (xxHash for placement, SHA-256 for tenant keys and request identity) and random
+/// identifiers.
 #pragma once
 
 #include <compare>
@@ -29,20 +29,20 @@
   auto operator<=>(const Digest128&) const = default;
 };
 
-/// @return the digest of several texts. Each goes in with its length, so that no text can be moved
-/// from one to the next without changing it.
+/// @return the digest of several texts. The length of each is hashed too, so that {"ab", "c"} and
+/// {"a", "bc"} differ.
 Digest128 sha256_128(std::initializer_list<std::string_view> texts);
 
 /// @return the digest as 32 lower-case hexadecimal digits.
 std::string to_text(const Digest128& digest);
 
-/// @return the digest that `to_text` wrote, or nothing.
+/// @return the digest that `text`, written by `to_text`, denotes; nothing when malformed.
 std::optional<Digest128> parse_digest(std::string_view text);
 
 /// Compares in time that depends on the lengths only.
 bool equal_in_constant_time(std::string_view left, std::string_view right);
 
-/// @return `bytes` random bytes of the system's generator, as hexadecimal digits.
+/// @return `bytes` bytes of the cryptographic random generator, as hexadecimal digits.
 std::string random_hex(std::size_t bytes);
 
 }  // namespace shuntbank
--- a/src/common/identifiers.hpp
+++ b/src/common/identifiers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Identifiers as distinct types, so that one kind cannot be passed where another is meant.
+/// Identifiers as distinct types, so that kinds cannot be mixed up.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace shuntbank {
 
-/// A string identifier. @tparam Tag tells kinds apart and has no other use.
+/// A string identifier. @tparam Tag makes each kind a distinct type.
 template <typename Tag>
 class Identifier {
  public:
@@ -34,13 +34,13 @@
 using ZoneName = Identifier<struct ZoneTag>;
 using RegionName = Identifier<struct RegionTag>;
 
-/// Revision of the configuration. Only grows; zero means "none yet".
+/// Revision of the configuration. Increases monotonically; zero means "none yet".
 using Revision = std::uint64_t;
 
-/// Epoch of a controller lease, used as the fence of every order. Only grows.
+/// Epoch of a controller lease, used as the fencing token of every order. Increases monotonically.
 using Fence = std::uint64_t;
 
-/// Number of an order under one fence.
+/// Sequence number of an order within one fence.
 using Sequence = std::uint64_t;
 
 }  // namespace shuntbank
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -21,11 +21,11 @@
     LogLevel::kInfo, LogLevel::kInfo, LogLevel::kInfo, LogLevel::kInfo,
     LogLevel::kInfo, LogLevel::kInfo, LogLevel::kInfo};
 
-/// A sink of spdlog that writes to standard output without waiting.
+/// An spdlog sink that writes to standard output without blocking.
 class LogSink : public spdlog::sinks::base_sink<std::mutex> {
  public:
   LogOutput output{STDOUT_FILENO};
-  LogImportance importance = LogImportance::kOutcome;  ///< Of the line that is being logged.
+  LogImportance importance = LogImportance::kOutcome;  ///< Of the line being logged.
 
  protected:
   void sink_it_(const spdlog::details::log_msg& message) override {
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Structured logs: one line of key=value pairs for each event. Never pass prompt text or keys.
+/// Structured logs: one line of key=value pairs per event. Never log prompt text or tenant keys.
 #pragma once
 
 #include <initializer_list>
@@ -14,10 +14,10 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError, kOff };
 
-/// Parts of the system whose level can be set apart from the others.
+/// Parts of the system whose log levels are set independently.
 enum class LogArea { kCallers, kCluster, kConfig, kControl, kPlatform, kStandin, kProcess };
 
-/// One pair of a log line. Numbers are converted; text is escaped when it is written.
+/// One key=value pair of a log line. Text is escaped when it is written.
 struct LogField {
   std::string_view key;
   std::string value;
@@ -31,22 +31,22 @@
 };
 
 /// Sets the levels from text such as `info` or `info,cluster=debug`.
-/// @return nothing, or a message that names the unknown level or area.
+/// @return an error message that names the unknown level or area, if any.
 tl::expected<void, std::string> set_log_levels(std::string_view text);
 
-/// Bounds the lines a second of this process; without a call there is no bound.
+/// Limits the lines per second of this process; there is no limit by default.
 void set_log_limits(const LogLimits& limits);
 
-/// @return lines that were left out, for want of room or by the bounds.
+/// @return the number of lines dropped by the limits or because the descriptor was full.
 std::uint64_t dropped_log_lines();
 
-/// Writes `time=… level=… area=… event=NAME key=value …` to standard output, never waiting.
-/// @param importance what may be left out first under load; warnings and errors go last anyway.
+/// Writes `time=… level=… area=… event=NAME key=value …` to standard output without blocking.
+/// @param importance decides what is dropped first; warnings and errors are dropped last anyway.
 void log_event(LogArea area, LogLevel level, std::string_view event,
                std::initializer_list<LogField> fields = {},
                LogImportance importance = LogImportance::kOutcome);
 
-/// @return `text` quoted and escaped when it holds anything but plain characters.
+/// @return `text`, quoted and escaped if it contains anything but plain characters.
 std::string escape_log_value(std::string_view text);
 
 }  // namespace shuntbank
--- a/src/common/log_output.cpp
+++ b/src/common/log_output.cpp
@@ -31,7 +31,7 @@
   std::string bytes = line.substr(0, PIPE_BUF - 1);
   bytes += '\n';
   pollfd poll_request{descriptor_, POLLOUT, 0};
-  // A pipe that is ready takes PIPE_BUF bytes whole and without waiting (POSIX, write).
+  // A writable pipe accepts up to PIPE_BUF bytes atomically and without blocking (POSIX, write).
   if (::poll(&poll_request, 1, 0) <= 0 || (poll_request.revents & POLLOUT) == 0) return false;
   return ::write(descriptor_, bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size());
 }
--- a/src/common/log_output.hpp
+++ b/src/common/log_output.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Where log lines go: a descriptor that is never waited for, with a bound on lines a second. Lines
-/// that find no room are left out and counted.
+/// Non-blocking output of log lines to a descriptor, with limits on lines per second. Lines that do
+/// not fit are dropped and counted.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 namespace shuntbank {
 
-/// How much a line matters when not all can be written.
+/// Decides which lines are dropped first when not all can be written.
 enum class LogImportance {
-  kStep,     ///< One step of a request; the first to go.
-  kOutcome,  ///< The final outcome of a request, or a change of what the process believes.
-  kProblem,  ///< A warning or an error; only a full descriptor holds it back.
+  kStep,     ///< One step of a request; dropped first.
+  kOutcome,  ///< The final outcome of a request, or a change of the process's state.
+  kProblem,  ///< A warning or an error; dropped only if the descriptor is full.
 };
 
-/// Bounds on lines a second; zero means no bound.
+/// Limits on lines per second; zero means no limit.
 struct LogLimits {
   std::uint32_t steps_per_second = 0;
   std::uint32_t lines_per_second = 0;  ///< Steps and outcomes together.
@@ -30,11 +30,11 @@
 
   void set_limits(const LogLimits& limits) { limits_ = limits; }
 
-  /// Writes a line without waiting. @param line without its end of line.
+  /// Writes a line without blocking. @param line without the newline.
   /// @return whether it was written.
   bool write(MonotonicTime now, LogImportance importance, const std::string& line);
 
-  /// @return lines left out so far.
+  /// @return the number of lines dropped so far.
   std::uint64_t dropped_lines() const { return dropped_lines_; }
 
  private:
@@ -47,7 +47,7 @@
   std::uint32_t steps_ = 0;
   std::uint32_t lines_ = 0;
   std::uint64_t dropped_lines_ = 0;
-  std::uint64_t reported_drops_ = 0;  ///< Of `dropped_lines_`, told in the log itself.
+  std::uint64_t reported_drops_ = 0;  ///< How many of `dropped_lines_` the log has reported.
 };
 
 }  // namespace shuntbank
--- a/src/common/periodic.hpp
+++ b/src/common/periodic.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A timer that calls again and again until it is destroyed.
+/// A repeating timer that runs until it is destroyed.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace shuntbank {
 
-/// Calls a function at a fixed interval. It must not be destroyed from inside its own call.
+/// Calls a function at a fixed interval. Must not be destroyed from inside the call.
 class Periodic {
  public:
   Periodic(Runtime& runtime, Duration interval, std::function<void()> function)
--- a/src/common/runtime.cpp
+++ b/src/common/runtime.cpp
@@ -16,7 +16,7 @@
 }
 
 void call_after(Runtime& runtime, Duration delay, std::function<void()> function) {
-  // The timer lives in its own call and goes with it.
+  // The callback owns its timer and destroys it after the call.
   auto timer = std::make_shared<std::unique_ptr<Timer>>();
   *timer = runtime.after(delay, [timer, function = std::move(function)] {
     const auto alive_during_call = std::move(*timer);
--- a/src/common/runtime.hpp
+++ b/src/common/runtime.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// What a process gets from its surroundings: time, timers and randomness. The real one runs on an
-/// Asio loop; the simulation has one of its own, so that the same code runs there, repeatable by a
-/// seed.
+/// Interface to the environment of a process: time, timers and randomness. Production code runs on
+/// an Asio loop; the simulation implements it deterministically from a seed.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +12,7 @@
 
 namespace shuntbank {
 
-/// A pending call. Destroying it cancels the call.
+/// Handle of a scheduled call. Destroying it cancels the call.
 class Timer {
  public:
   Timer() = default;
@@ -22,7 +21,7 @@
   Timer& operator=(const Timer&) = delete;
 };
 
-/// Time, timers and randomness of one process. Everything runs on one thread.
+/// Time, timers and randomness of one process. Single-threaded.
 class Runtime {
  public:
   Runtime() = default;
@@ -30,30 +29,30 @@
   Runtime(const Runtime&) = delete;
   Runtime& operator=(const Runtime&) = delete;
 
-  /// @return the monotonic clock of this process.
+  /// @return the current time of the process's monotonic clock.
   virtual MonotonicTime now() const = 0;
 
-  /// @return the wall clock, in milliseconds since the Unix epoch.
+  /// @return the wall-clock time, in milliseconds since the Unix epoch.
   virtual std::uint64_t unix_milliseconds() const = 0;
 
-  /// Calls `function` once after `delay`, unless the returned timer is destroyed before.
+  /// Calls `function` once after `delay`, unless the returned timer is destroyed earlier.
   [[nodiscard]] virtual std::unique_ptr<Timer> after(Duration delay,
                                                      std::function<void()> function) = 0;
 
-  /// Calls `function` soon, never from inside this call.
+  /// Queues `function` to run after the current call returns.
   virtual void post(std::function<void()> function) = 0;
 
-  /// @return `bytes` unpredictable bytes as hexadecimal digits; in a simulation, predictable ones.
+  /// @return `bytes` random bytes as hexadecimal digits; deterministic in a simulation.
   virtual std::string random_hex(std::size_t bytes) = 0;
 };
 
-/// @return an unpredictable number of 56 bits; in a simulation, a predictable one.
+/// @return a random 56-bit number; deterministic in a simulation.
 std::uint64_t random_number(Runtime& runtime);
 
-/// @return an unpredictable fraction from 0 to less than 1, in steps of 1/65536.
+/// @return a random fraction from 0 to less than 1, in steps of 1/65536.
 double random_fraction(Runtime& runtime);
 
-/// Calls `function` once after `delay`, whatever happens to the caller.
+/// Calls `function` once after `delay`; the call cannot be cancelled.
 void call_after(Runtime& runtime, Duration delay, std::function<void()> function);
 
 }  // namespace shuntbank
--- a/src/common/time.hpp
+++ b/src/common/time.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Time as it is passed into the core: a point on a monotonic clock and durations.
+/// Time types: points on a monotonic clock, and durations.
 #pragma once
 
 #include <time.h>
@@ -11,16 +11,15 @@
 
 using Duration = std::chrono::microseconds;
 
-/// A clock that never goes back and goes on while the machine is suspended, unlike
-/// `std::chrono::steady_clock`. Whoever wakes must know how old a lease, a deadline or what was
-/// heard of others has become; with a clock that stood still, a holder of a lease that has passed
-/// to another would go on giving orders for as long as it slept.
+/// A monotonic clock that, unlike `std::chrono::steady_clock`, also advances while the machine is
+/// suspended. With `steady_clock`, a lease holder that wakes up would believe that its lease is
+/// still valid after another node has taken it over.
 struct MonotonicClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<MonotonicClock>;
-  // The standard asks this name of a clock. NOLINTNEXTLINE(readability-identifier-naming)
+  // Name required by the Clock requirements. NOLINTNEXTLINE(readability-identifier-naming)
   static constexpr bool is_steady = true;
 
   static time_point now() noexcept {
@@ -33,7 +32,7 @@
 
 using MonotonicTime = std::chrono::time_point<MonotonicClock, Duration>;
 
-/// @return the current time of the process's monotonic clock. Only drivers call it, never the core.
+/// @return the current monotonic time. Must not be called from the core, which is passed the time.
 inline MonotonicTime monotonic_now() {
   return std::chrono::time_point_cast<Duration>(MonotonicClock::now());
 }
@@ -43,7 +42,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-/// @return `duration` in milliseconds, with their fraction.
+/// @return `duration` in milliseconds, including the fraction.
 inline double to_ms(Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
 }
--- a/src/common/units.cpp
+++ b/src/common/units.cpp
@@ -16,7 +16,7 @@
 constexpr std::array<Unit, 4> kSizeUnits{
     {{"GiB", 1LL << 30}, {"MiB", 1LL << 20}, {"KiB", 1LL << 10}, {"", 1}}};
 
-/// Splits `text` into its leading whole number and the suffix behind it, and scales by the suffix.
+/// Parses a non-negative integer followed by a unit suffix, and multiplies by the unit's factor.
 template <std::size_t N>
 tl::expected<std::int64_t, std::string> parse_scaled(std::string_view text,
                                                      const std::array<Unit, N>& units,
--- a/src/common/utf8.cpp
+++ b/src/common/utf8.cpp
@@ -10,7 +10,7 @@
   return (static_cast<unsigned char>(byte) & 0xC0U) == 0x80U;
 }
 
-/// @return the length that the first byte announces; 0: no character begins with it.
+/// @return the sequence length that the first byte implies; 0 if it is not a valid lead byte.
 std::size_t sequence_length(unsigned char first) {
   if (first < 0x80U) return 1;
   if (first >= 0xC2U && first <= 0xDFU) return 2;
@@ -19,7 +19,8 @@
   return 0;
 }
 
-/// Encodings that are too long, of surrogates, or beyond the last character.
+/// @return whether the pair begins an overlong encoding, a surrogate or a code point above
+/// U+10FFFF.
 bool is_invalid_second_byte(unsigned char first, unsigned char second) {
   if (first == 0xE0U) return second < 0xA0U;
   if (first == 0xEDU) return second > 0x9FU;
@@ -27,7 +28,8 @@
   return first == 0xF4U && second > 0x8FU;
 }
 
-/// @return the length of the character at the start of `bytes`, which is not empty; 0: none.
+/// @return the length of the valid sequence at the start of `bytes`; 0 if there is none.
+/// @pre `bytes` is not empty.
 std::size_t valid_prefix_length(std::string_view bytes) {
   const auto first = static_cast<unsigned char>(bytes[0]);
   const std::size_t length = sequence_length(first);
--- a/src/common/utf8.hpp
+++ b/src/common/utf8.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Text that comes from elsewhere and may hold bytes that are none.
+/// Sanitizes text from external sources that may contain invalid UTF-8.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace shuntbank {
 
-/// @return the text with each byte that belongs to no UTF-8 character (RFC 3629) replaced by `?`.
+/// @return `bytes` with each byte that is not part of a valid UTF-8 sequence (RFC 3629) replaced by
+/// `?`.
 std::string replace_invalid_utf8(std::string_view bytes);
 
 }  // namespace shuntbank
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The stored form of a configuration: one document with a revision, and changes to it.
-/// A document is written whole by compare-and-set, which makes a change over many objects atomic.
+/// The stored form of a configuration: a versioned document, and edits to it.
+/// The whole document is written by compare-and-set, so a change to several objects is atomic.
 #pragma once
 
 #include <compare>
@@ -17,7 +17,7 @@
 
 namespace shuntbank {
 
-/// Names one declared object.
+/// Identifies one declared object by kind and name.
 struct ObjectKey {
   ObjectKind kind = ObjectKind::kEngine;
   std::string name;
@@ -26,42 +26,43 @@
   std::string to_text() const { return std::string(shuntbank::to_text(kind)) + "/" + name; }
 };
 
-/// A declared object as stored. `removed` entries stay, so that nodes which lag learn of them.
+/// A declared object as stored. Removed objects stay as tombstones, for nodes that lag behind.
 struct StoredObject {
-  Revision version = 0;  ///< Revision of the document that last changed this object.
+  Revision version = 0;  ///< Document revision in which this object last changed.
   bool removed = false;
   nlohmann::json spec;
 
   bool operator==(const StoredObject&) const = default;
 };
 
-/// A whole configuration.
+/// All declared objects at one revision.
 struct ConfigDocument {
   Revision revision = 0;
-  /// Identifiers of the last writes, newest first. They settle a write whose answer was lost, also
-  /// when others have written since.
+  /// Identifiers of the last writes, newest first. They show whether a write whose answer was lost
+  /// took effect, even if others have written since.
   std::vector<std::string> recent_writes;
   std::map<ObjectKey, StoredObject> objects;
 
-  /// @return only the objects changed after `from`, with this document's revision.
+  /// @return the objects changed after revision `from`, with this document's revision.
   ConfigDocument changes_since(Revision from) const;
 
-  /// @return whether the write of that identifier took effect, as far back as is remembered.
+  /// @return whether `write_id` is among the recent writes.
   bool contains_write(const std::string& write_id) const;
 
-  /// Takes over a newer document's changes. @pre `changes` was made since this revision or earlier.
+  /// Applies the changes of a newer document.
+  /// @pre `changes` contains all changes since this document's revision.
   void merge(const ConfigDocument& changes);
 
   bool operator==(const ConfigDocument&) const = default;
 };
 
-/// Writes whose identifiers are remembered.
+/// Number of write identifiers that a document retains.
 constexpr std::size_t kMaxRecentWrites = 64;
 
-/// One wanted edit: a new spec, or none to remove the object.
+/// One requested edit: a new spec, or none to remove the object.
 struct ObjectEdit {
   ObjectKey key;
-  Revision base_version = 0;  ///< Version that the operator saw; zero: the object did not exist.
+  Revision base_version = 0;  ///< Version that was edited; zero: the object must not exist.
   std::optional<nlohmann::json> spec;
 };
 
@@ -69,21 +70,21 @@
 ObjectEdit make_set_edit(ObjectKind kind, const std::string& name, Revision base_version,
                          nlohmann::json spec);
 
-/// Two operators changed the same object.
+/// The object has changed since the version that an edit is based on.
 struct EditConflict {
   ObjectKey key;
   Revision base_version = 0;
   Revision current_version = 0;
 };
 
-/// Why a change was refused: it conflicts, or it is wrong. Nothing was changed.
+/// Why a change was rejected: version conflicts or invalid objects. Nothing was changed.
 struct EditRefusal {
   std::vector<EditConflict> conflicts;
   Findings findings;
 };
 
 /// Applies all edits or none.
-/// @return the next document, checked as a whole, or every reason against it.
+/// @return the next document, validated as a whole, or every conflict or finding.
 tl::expected<ConfigDocument, EditRefusal> apply_edits(const ConfigDocument& current,
                                                       const std::vector<ObjectEdit>& edits,
                                                       const std::string& write_id);
--- a/src/config/field_reader.hpp
+++ b/src/config/field_reader.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads the fields of one JSON object with checks. Every problem becomes a finding with its place;
-/// reading goes on, so that all problems are reported together.
+/// Reads and validates the fields of one JSON object. Every problem is recorded as a finding and
+/// reading continues, so that all problems are reported together.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +16,28 @@
 
 namespace shuntbank {
 
-/// Reader of one JSON object. Call `finish` last: it reports the fields that nobody asked for.
+/// Reader of one JSON object. Call `finish` last: it reports unknown fields.
 class FieldReader {
  public:
-  /// @param place prefix of each finding's place, such as a file and a JSON pointer.
+  /// @param place prefix of each finding's place, such as a file name and a JSON pointer.
   FieldReader(const nlohmann::json& object, std::string place, Findings& findings);
 
-  /// @return the text; a finding and empty text when it is absent (and required) or not text.
+  /// @return the string; empty, with a finding, if it is absent though required, or not a string.
   std::string text(const std::string& key, bool required);
 
-  /// @return the number within [low, high], or `fallback` when absent or (with a finding) wrong.
+  /// @return the number within [low, high], or `fallback` when absent or (with a finding) invalid.
   double number(const std::string& key, double fallback, double low, double high);
 
-  /// @return the whole number within [0, high], or `fallback` when absent or (with a finding)
-  /// wrong.
+  /// @return the integer within [0, high], or `fallback` when absent or (with a finding) invalid.
   std::uint64_t unsigned_integer(const std::string& key, std::uint64_t fallback,
                                  std::uint64_t high);
 
-  /// @return the whole number within [low, high], or `fallback`.
+  /// @return the integer within [low, high], or `fallback`.
   std::int64_t integer(const std::string& key, std::int64_t fallback, std::int64_t low,
                        std::int64_t high);
 
-  /// @return the duration within [low, high], or `fallback` when absent or (with a finding) wrong.
+  /// @return the duration within [low, high], or `fallback` when absent or (with a finding)
+  /// invalid.
   Duration duration(const std::string& key, Duration fallback, Duration low, Duration high);
 
   std::vector<std::string> text_list(const std::string& key);
@@ -53,7 +53,7 @@
   /// Records a finding at a field.
   void add_finding(const std::string& key, const std::string& message);
 
-  /// @return the place of a field.
+  /// @return the place of a field, as used in findings.
   std::string place_of(const std::string& key) const { return place_ + "/" + key; }
 
   /// Records a finding for each field that was not read.
--- a/src/config/key_index.cpp
+++ b/src/config/key_index.cpp
@@ -7,8 +7,8 @@
 namespace shuntbank {
 namespace {
 
-/// Of a hash that find its bucket: enough to hold few keys each, too few to tell one from its
-/// neighbours by the time that a look-up takes.
+/// Leading hash digits that select a bucket: enough to keep buckets small, few enough that lookup
+/// time reveals little of a hash.
 constexpr std::size_t kBucketDigits = 8;
 
 std::string bucket_of(const std::string& sha256) {
--- a/src/config/key_index.hpp
+++ b/src/config/key_index.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds the tenant that a presented key belongs to. Holds hashes of keys only.
+/// Maps tenant keys to tenants. Stores hashes of keys only.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,13 @@
 /// The keys of all tenants of one configuration.
 class KeyIndex {
  public:
-  /// Adds a key. One that is already held, by this or another tenant, belongs to nobody from then
-  /// on: it cannot be told whose requests it marks.
-  /// @return whether it was new.
+  /// Adds a key. A key that is added twice, for the same tenant or another, becomes ambiguous and
+  /// authenticates nobody.
+  /// @return whether the key was new.
   bool add(const TenantName& tenant, const TenantKey& key);
 
   /// Finds the owner of a presented key. Hashes are compared in constant time.
-  /// @param unix_seconds the wall clock, for keys that expire.
+  /// @param unix_seconds the current time, for expiry.
   /// @return the tenant, or null.
   const TenantName* find(std::string_view presented, std::int64_t unix_seconds) const;
 
@@ -32,7 +32,7 @@
     bool ambiguous = false;
   };
 
-  std::unordered_multimap<std::string, Entry> keys_;  ///< By the first digits of the hash.
+  std::unordered_multimap<std::string, Entry> keys_;  ///< By the leading digits of the hash.
 };
 
 }  // namespace shuntbank
--- a/src/config/object_codec.hpp
+++ b/src/config/object_codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Declared objects from JSON, with every problem reported at its place.
+/// Reads declared objects from JSON and reports every problem with its place.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,10 +10,10 @@
 
 namespace shuntbank {
 
-/// Checks and reads the fields of one object.
+/// Reads and validates the fields of one object.
 /// @param spec the object's fields without its kind and name.
-/// @param place prefix for findings.
-/// @return the object; only meaningful when `findings` gained nothing.
+/// @param place prefix of each finding's place.
+/// @return the object; valid only if no finding was added.
 DeclaredObject read_object(ObjectKind kind, const std::string& name, const nlohmann::json& spec,
                            const std::string& place, Findings& findings);
 
--- a/src/config/objects.hpp
+++ b/src/config/objects.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The objects that operators declare. docs/CONFIGURATION.md documents each field.
+/// The objects that operators declare. See docs/CONFIGURATION.md for each field.
 #pragma once
 
 #include <cstdint>
@@ -14,26 +14,26 @@
 
 namespace shuntbank {
 
-/// What an engine does in the serving of a model.
+/// The inference stages that an engine runs.
 enum class EngineRole { kMixed, kPrefill, kDecode };
 
-/// @return the name of `role` as configuration and protocol spell it.
+/// @return the name of `role` in configuration and protocol.
 const char* to_text(EngineRole role);
 
-/// @return the role of that name, if there is one.
+/// @return the role with that name, if any.
 std::optional<EngineRole> parse_engine_role(const std::string& text);
 
-/// A back end of the fixed fleet.
+/// A statically declared back-end server.
 struct Engine {
   EngineId name;
-  std::string address;  ///< `IP:PORT` of its published API.
+  std::string address;  ///< `IP:PORT` of its API.
   ZoneName zone;
   Labels labels;
 };
 
 enum class ServiceKind { kModel, kPlain };
 
-/// One version of a model and the adapters that its engines hold.
+/// One version of a model, and the adapters that its engines have loaded.
 struct ModelSpec {
   std::string name;
   std::string version;
@@ -42,7 +42,7 @@
   bool operator==(const ModelSpec&) const = default;
 };
 
-/// A group of engines that serve the same thing.
+/// A group of engines that serve the same models or API.
 struct Service {
   ServiceName name;
   ServiceKind kind = ServiceKind::kModel;
@@ -51,21 +51,21 @@
   std::vector<EngineRole> allowed_roles;  ///< Empty means mixed only.
 };
 
-/// A stored tenant key: only its hash. Two may be valid at once while a key is rotated.
+/// The hash of a tenant key. Two may be valid at once while a key is rotated.
 struct TenantKey {
   std::string sha256;                      ///< 64 hexadecimal digits.
-  std::optional<std::int64_t> expires_at;  ///< Seconds since the Unix epoch; none: no end.
+  std::optional<std::int64_t> expires_at;  ///< Seconds since the Unix epoch; none: never.
 };
 
-/// A caller organisation.
+/// An organisation that sends requests.
 struct Tenant {
   TenantName name;
   Labels labels;
-  double weight = 1.0;  ///< Share of a contended fleet relative to other tenants.
+  double weight = 1.0;  ///< Fair-share weight relative to other tenants.
   std::vector<TenantKey> keys;
 };
 
-/// Limits of each selected tenant, across all nodes. Zero means no limit.
+/// Limits per selected tenant, across all nodes. Zero means no limit.
 struct TenantLimits {
   std::uint32_t requests_per_minute = 0;
   std::uint64_t tokens_per_minute = 0;
@@ -73,7 +73,7 @@
   std::uint32_t queue_length = 0;
 };
 
-/// Bounds that count a request as served well.
+/// Latencies within which a request counts towards goodput.
 struct LatencyTargets {
   Duration first_token = std::chrono::milliseconds(500);
   Duration between_tokens = std::chrono::milliseconds(80);
@@ -83,21 +83,21 @@
 struct Policy {
   std::string name;
   Selector tenant_selector;
-  Selector service_selector;  ///< Matches against the label `service` = the service's name.
+  Selector service_selector;  ///< Matches the label `service`, whose value is the service name.
   TenantLimits limits;
-  std::int32_t priority = 0;  ///< Higher is served first; also decides between two policies.
+  std::int32_t priority = 0;  ///< Higher is served first; the highest matching policy applies.
   LatencyTargets targets;
-  double role_change_cost = 1.0;  ///< Goodput-seconds that one role change has to earn back.
+  double role_change_cost = 1.0;  ///< In goodput-seconds, besides the time that the change takes.
   Duration drain_bound =
-      std::chrono::seconds(30);  ///< Longest wait for a drain before it is put off.
+      std::chrono::seconds(30);  ///< Drain timeout, after which the role change is postponed.
 };
 
 enum class ObjectKind { kEngine, kService, kTenant, kPolicy };
 
-/// @return the name of `kind` as configuration spells it, such as `Engine`.
+/// @return the name of `kind` in configuration, such as `Engine`.
 const char* to_text(ObjectKind kind);
 
-/// @return the kind of that name, if there is one.
+/// @return the kind with that name, if any.
 std::optional<ObjectKind> parse_object_kind(const std::string& text);
 
 using DeclaredObject = std::variant<Engine, Service, Tenant, Policy>;
--- a/src/config/option_set.cpp
+++ b/src/config/option_set.cpp
@@ -37,7 +37,7 @@
   return value;
 }
 
-/// Stores the result of a parser, or passes its message on.
+/// Stores a parsed value, or returns the parser's error message.
 template <typename Target, typename Result>
 tl::expected<void, std::string> store(Target& target, const Result& result) {
   if (!result) return tl::make_unexpected(result.error());
@@ -165,10 +165,10 @@
                                  : po::value<std::string>();
     description.add_options()(option.name.c_str(), value, "");
   }
-  // Unknown words are collected, so that all of them are reported and not just the first.
+  // Unknown arguments are collected, so that all are reported and not just the first.
   using Style = po::command_line_style::style_t;
   const int style = Style::allow_long | Style::long_allow_adjacent | Style::long_allow_next;
-  // Each argument group is parsed alone: the library stops at the first error otherwise.
+  // Each option is parsed separately, as the library stops at the first error.
   for (std::size_t i = 0; i < arguments.size(); ++i) {
     const std::string& argument = arguments[i];
     if (argument.rfind("--", 0) != 0) {
--- a/src/config/option_set.hpp
+++ b/src/config/option_set.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One definition of a program's options, for the command line and the settings file alike.
+/// Program options, read from the command line and a settings file.
 /// All findings are reported together, each with its file, line and option.
 #pragma once
 
@@ -15,31 +15,31 @@
 
 namespace shuntbank {
 
-/// Exit codes of all programs. docs/OPERATIONS.md documents them.
+/// Exit codes of all programs. See docs/OPERATIONS.md.
 enum class ExitCode : int {
   kSuccess = 0,
-  kFailure = 1,   ///< What was asked for failed.
-  kUsage = 2,     ///< Options or settings are wrong.
-  kConflict = 3,  ///< An edit race: somebody else changed the same objects.
-  kInvalid = 4,   ///< Declared objects are wrong.
+  kFailure = 1,   ///< The requested operation failed.
+  kUsage = 2,     ///< Invalid options or settings.
+  kConflict = 3,  ///< Edit conflict: the same objects were changed concurrently.
+  kInvalid = 4,   ///< Invalid declared objects.
 };
 
-/// What a program does after its options were read.
+/// What a program does after reading its options.
 struct OptionsOutcome {
   bool run = false;  ///< False: exit with `code` at once.
   ExitCode code = ExitCode::kSuccess;
 };
 
-/// Options of one program or of one of its commands.
+/// Options of one program or command.
 class OptionSet {
  public:
-  /// @param usage first line of the help text, such as `shuntbankd [options]`.
+  /// @param usage the first line of the help text, such as `shuntbankd [options]`.
   explicit OptionSet(std::string usage);
 
   using Setter = std::function<tl::expected<void, std::string>(const std::string&)>;
 
-  /// Adds an option whose text `setter` checks and stores.
-  /// @param default_text shown in the help only; empty when there is none.
+  /// Adds an option. `setter` validates and stores its value.
+  /// @param default_text shown in the help only; empty if there is no default.
   void add(const std::string& name, const std::string& help, const std::string& default_text,
            Setter setter);
 
@@ -56,15 +56,15 @@
                      std::uint64_t high, const std::string& help);
   void add_flag(const std::string& name, bool& target, const std::string& help);
 
-  /// Names an option that must be given.
+  /// Marks an option as required.
   void require(const std::string& name);
 
-  /// Accepts words that are not options, such as file names.
+  /// Accepts positional arguments, such as file names.
   void accept_positional(std::vector<std::string>& target, const std::string& help);
 
-  /// Reads the command line and the file that `--settings` names; flags go before the file.
-  /// Answers `--help`, `--version` and `--check-settings` itself and reports all findings.
-  /// @param check what the options alone cannot check; its findings are reported with the others.
+  /// Reads the command line and the `--settings` file; the command line takes precedence.
+  /// Handles `--help`, `--version` and `--check-settings`, and reports all findings.
+  /// @param check validates options together; its findings are reported with the others.
   OptionsOutcome read(const std::vector<std::string>& arguments, std::ostream& output,
                       std::ostream& errors, const std::function<Findings()>& check = {});
 
--- a/src/config/selector.hpp
+++ b/src/config/selector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Labels and the selectors that match them, in equality and set form.
+/// Labels, and equality-based and set-based label selectors.
 #pragma once
 
 #include <map>
@@ -8,12 +8,12 @@
 
 namespace shuntbank {
 
-/// Labels of an object: key to value.
+/// Labels of an object, from key to value.
 using Labels = std::map<std::string, std::string>;
 
 enum class SelectorOperator { kIn, kNotIn, kExists, kDoesNotExist };
 
-/// One requirement in set form.
+/// One set-based requirement.
 struct SelectorExpression {
   std::string key;
   SelectorOperator op = SelectorOperator::kIn;
@@ -22,12 +22,12 @@
   bool operator==(const SelectorExpression&) const = default;
 };
 
-/// All requirements must hold. An empty selector matches everything.
+/// A set of requirements that must all hold. An empty selector matches everything.
 struct Selector {
   Labels match_labels;
   std::vector<SelectorExpression> match_expressions;
 
-  /// @return whether `labels` meet every requirement. A missing key meets `kNotIn`.
+  /// @return whether `labels` satisfy every requirement. A missing key satisfies `kNotIn`.
   bool matches(const Labels& labels) const;
 
   bool operator==(const Selector&) const = default;
--- a/src/config/snapshot.hpp
+++ b/src/config/snapshot.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An immutable, checked configuration, indexed for serving.
+/// An immutable, validated configuration, indexed for request serving.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,17 @@
 
 namespace shuntbank {
 
-/// Where a model name leads to.
+/// The service, model and adapter that a model name resolves to.
 struct ModelRoute {
   ServiceName service;
   ModelSpec model;
   std::string adapter;  ///< Empty for the base model.
 };
 
-/// A checked configuration at one revision. Shared between requests; never changed.
+/// A validated configuration at one revision. Immutable, and shared between requests.
 class Snapshot {
  public:
-  /// Checks the document as a whole.
+  /// Validates the document as a whole.
   /// @return the snapshot, or every finding with its place.
   static tl::expected<std::shared_ptr<const Snapshot>, Findings> build(
       const ConfigDocument& document);
@@ -47,15 +47,15 @@
   /// @return the engines that the service selects; empty when the service is unknown.
   const std::vector<EngineId>& engines_of(const ServiceName& service) const;
 
-  /// @return where a model or `model:adapter` name leads to, or null.
+  /// @return the route of a model or `model:adapter` name, or null.
   const ModelRoute* find_model(const std::string& name) const;
 
   /// Finds the owner of a presented key. Hashes are compared in constant time.
-  /// @param unix_seconds the wall clock, for keys that expire.
+  /// @param unix_seconds the current time, for expiry.
   /// @return the tenant, or null.
   const Tenant* authenticate(const std::string& key, std::int64_t unix_seconds) const;
 
-  /// @return the policy of highest priority that selects both, or the default policy.
+  /// @return the highest-priority policy that selects both, or the default policy.
   const Policy& policy_for(const Tenant& tenant, const ServiceName& service) const;
 
  private:
--- a/tests/common/log_output_test.cpp
+++ b/tests/common/log_output_test.cpp
@@ -28,7 +28,7 @@
   LogOutput output(pipe.ends[1]);
   const std::string line(1000, 'x');
   int written = 0;
-  // Far more than a pipe holds; a call that waited would never come back.
+  // Exceeds the pipe's capacity; a blocking write would hang.
   for (int i = 0; i < 2000; ++i)
     written += output.write(kNow, LogImportance::kProblem, line) ? 1 : 0;
   cr_assert_gt(written, 0);
@@ -36,7 +36,7 @@
   cr_assert_eq(output.dropped_lines(), 2000 - written);
   std::array<char, 65536> buffer{};
   cr_assert_gt(read(pipe.ends[0], buffer.data(), buffer.size()), 0);
-  cr_assert(output.write(kNow, LogImportance::kProblem, line), "goes on once there is room");
+  cr_assert(output.write(kNow, LogImportance::kProblem, line), "writes again once there is room");
 }
 
 Test(log_output, drops_steps_first_and_never_problems) {
@@ -54,5 +54,6 @@
   cr_assert_eq(steps, 3);
   cr_assert_eq(outcomes, 2);
   cr_assert_eq(problems, 10);
-  cr_assert(output.write(kNow + 1s, LogImportance::kStep, "s"), "the next second has room again");
+  cr_assert(output.write(kNow + 1s, LogImportance::kStep, "s"),
+            "the limit resets in the next second");
 }
