--- a/src/apps/shuntbank_standin.cpp
+++ b/src/apps/shuntbank_standin.cpp
@@ -21,8 +21,9 @@
 template <typename Standin>
 void serve(asio::io_context& loop, const HttpServerSettings& settings, Standin& standin) {
   const HttpServer server(
-      loop, settings, [&standin](HttpRequest request, const std::shared_ptr<HttpResponder>& to) {
-        standin.handle(std::move(request), to);
+      loop, settings,
+      [&standin](HttpRequest request, const std::shared_ptr<HttpResponder>& responder) {
+        standin.handle(std::move(request), responder);
       });
   log_event(LogArea::kProcess, LogLevel::kInfo, "listening",
             {{"interface", "api"}, {"address", format_endpoint(server.local_endpoint())}});
@@ -127,7 +128,7 @@
   return static_cast<int>(code);
 }
 
-int main_checked(std::vector<std::string> arguments) {
+int run_command_line(std::vector<std::string> arguments) {
   if (arguments.empty()) return print_usage(std::cerr, ExitCode::kUsage);
   const std::string command = arguments.front();
   arguments.erase(arguments.begin());
@@ -147,7 +148,7 @@
 
 int main(int argc, char** argv) {
   try {
-    return shuntbank::main_checked({argv + 1, argv + argc});
+    return shuntbank::run_command_line({argv + 1, argv + argc});
   } catch (const std::exception& error) {
     std::cerr << error.what() << "\n";
     return static_cast<int>(shuntbank::ExitCode::kFailure);
--- a/src/apps/shuntbankd.cpp
+++ b/src/apps/shuntbankd.cpp
@@ -25,7 +25,7 @@
   return static_cast<int>(ExitCode::kSuccess);
 }
 
-int main_checked(const std::vector<std::string>& arguments) {
+int run_command_line(const std::vector<std::string>& arguments) {
   NodeSettings settings;
   OptionSet options = node_options(settings);
   const OptionsOutcome outcome =
@@ -39,7 +39,7 @@
 
 int main(int argc, char** argv) {
   try {
-    return shuntbank::main_checked({argv + 1, argv + argc});
+    return shuntbank::run_command_line({argv + 1, argv + argc});
   } catch (const std::exception& error) {
     shuntbank::log_event(shuntbank::LogArea::kProcess, shuntbank::LogLevel::kError, "fatal",
                          {{"error", error.what()}});
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -20,7 +20,7 @@
 struct CtlOptions {
   std::string node = "127.0.0.1:8081";
   std::vector<std::string> files;
-  std::vector<std::string> words;
+  std::vector<std::string> positional;
   std::string output = "table";
   std::string tenant;
   Duration grace = Duration::zero();
@@ -36,7 +36,7 @@
   bool as_json() const { return options.output == "json"; }
 };
 
-void add_node(OptionSet& set, CtlOptions& options) {
+void add_node_options(OptionSet& set, CtlOptions& options) {
   set.add_text("node", options.node, "IP:PORT of any node's operators' interface.");
   set.add("output", "table or json.", "table",
           [&options](const std::string& text) -> tl::expected<void, std::string> {
@@ -48,7 +48,7 @@
           });
 }
 
-void add_files(OptionSet& set, CtlOptions& options) {
+void add_file_option(OptionSet& set, CtlOptions& options) {
   set.add_texts("file", options.files, "File or folder of declared objects; also -f.");
 }
 
@@ -108,12 +108,12 @@
     context.output << sign << edit.key.to_text() << "\n";
     if (edit.base_version == 0 || !edit.spec) continue;
     const json patch = json::diff(current.objects.at(edit.key).spec, *edit.spec);
-    for (const json& step : patch) context.output << "    " << step.dump() << "\n";
+    for (const json& operation : patch) context.output << "    " << operation.dump() << "\n";
   }
   if (edits.empty()) context.output << "no difference\n";
 }
 
-ExitCode print_refusal(const Context& context, const Answer& answer) {
+ExitCode print_rejection(const Context& context, const Answer& answer) {
   if (context.as_json()) context.output << answer.body.dump(2) << "\n";
   const json& body = answer.body;
   if (!body.is_object()) return ExitCode::kFailure;
@@ -135,7 +135,7 @@
 ExitCode send_edits(const Context& context, const std::vector<ObjectEdit>& edits) {
   const auto answer = call(context, "POST", "/v1/config/changes", to_json(edits));
   if (!answer) return ExitCode::kFailure;
-  if (answer->status != 200) return print_refusal(context, *answer);
+  if (answer->status != 200) return print_rejection(context, *answer);
   if (context.as_json()) {
     context.output << answer->body.dump(2) << "\n";
   } else {
@@ -166,11 +166,11 @@
 }
 
 /// Splits `Kind/name`. @return nothing after an error was printed.
-std::optional<ObjectKey> parse_object_name(const Context& context, const std::string& word) {
-  const std::size_t slash = word.find('/');
-  const auto kind = parse_object_kind(word.substr(0, slash));
-  if (kind && slash != std::string::npos) return ObjectKey{*kind, word.substr(slash + 1)};
-  context.errors << "'" << word << "' is not KIND/NAME\n";
+std::optional<ObjectKey> parse_object_name(const Context& context, const std::string& object_name) {
+  const std::size_t slash = object_name.find('/');
+  const auto kind = parse_object_kind(object_name.substr(0, slash));
+  if (kind && slash != std::string::npos) return ObjectKey{*kind, object_name.substr(slash + 1)};
+  context.errors << "'" << object_name << "' is not KIND/NAME\n";
   return std::nullopt;
 }
 
@@ -183,8 +183,8 @@
   }
   Table table({"KIND", "NAME", "VERSION"});
   for (const auto& [key, object] : document->objects) {
-    const bool selected =
-        context.options.words.empty() || context.options.words.front() == to_text(key.kind);
+    const bool selected = context.options.positional.empty() ||
+                          context.options.positional.front() == to_text(key.kind);
     if (object.removed || !selected) continue;
     table.add({to_text(key.kind), key.name, std::to_string(object.version)});
   }
@@ -193,11 +193,11 @@
 }
 
 ExitCode run_describe(const Context& context) {
-  if (context.options.words.empty()) {
+  if (context.options.positional.empty()) {
     context.errors << "name an object as KIND/NAME\n";
     return ExitCode::kUsage;
   }
-  const auto key = parse_object_name(context, context.options.words.front());
+  const auto key = parse_object_name(context, context.options.positional.front());
   if (!key) return ExitCode::kUsage;
   const auto document = fetch_document(context);
   if (!document) return ExitCode::kFailure;
@@ -218,8 +218,8 @@
   const auto document = fetch_document(context);
   if (!document) return ExitCode::kFailure;
   std::vector<ObjectEdit> edits;
-  for (const std::string& word : context.options.words) {
-    const auto key = parse_object_name(context, word);
+  for (const std::string& object_name : context.options.positional) {
+    const auto key = parse_object_name(context, object_name);
     if (!key) return ExitCode::kUsage;
     const auto found = document->objects.find(*key);
     if (found == document->objects.end() || found->second.removed) {
@@ -280,34 +280,35 @@
 
 /// Adds a fresh key to a tenant and lets the one before it run out after the grace period.
 json rotate_keys(const json& spec, const std::string& key, Duration grace) {
-  json next = spec;
+  json updated = spec;
   json keys = json::array();
   const auto now = std::chrono::duration_cast<std::chrono::seconds>(
       std::chrono::system_clock::now().time_since_epoch());
-  const std::int64_t ends = (now + std::chrono::duration_cast<std::chrono::seconds>(grace)).count();
+  const std::int64_t expires_at =
+      (now + std::chrono::duration_cast<std::chrono::seconds>(grace)).count();
   const json old_keys = spec.value("keys", json::array());
   if (!old_keys.empty() && grace > Duration::zero()) {
-    json last = old_keys.back();
-    last["expires_at"] = ends;
-    keys.push_back(last);
+    json previous_key = old_keys.back();
+    previous_key["expires_at"] = expires_at;
+    keys.push_back(previous_key);
   }
   keys.push_back({{"sha256", sha256_hex(key)}});
-  next["keys"] = keys;
-  return next;
+  updated["keys"] = keys;
+  return updated;
 }
 
 ExitCode run_tenant_key(const Context& context) {
   const auto document = fetch_document(context);
   if (!document) return ExitCode::kFailure;
-  const ObjectKey name{ObjectKind::kTenant, context.options.tenant};
-  const auto found = document->objects.find(name);
+  const ObjectKey object_key{ObjectKind::kTenant, context.options.tenant};
+  const auto found = document->objects.find(object_key);
   if (found == document->objects.end() || found->second.removed) {
-    context.errors << name.to_text() << " does not exist\n";
+    context.errors << object_key.to_text() << " does not exist\n";
     return ExitCode::kFailure;
   }
   constexpr std::size_t kKeyBytes = 24;
   const std::string key = "sb-" + random_hex(kKeyBytes);
-  const ObjectEdit edit{name, found->second.version,
+  const ObjectEdit edit{object_key, found->second.version,
                         rotate_keys(found->second.spec, key, context.options.grace)};
   const ExitCode code = send_edits(context, {edit});
   if (code == ExitCode::kSuccess) context.output << "key: " << key << "\n";
@@ -317,46 +318,47 @@
 /// A command's name, its one line of help, its options and what it does.
 struct Command {
   std::string help;
-  std::function<void(OptionSet&, CtlOptions&)> define;
+  std::function<void(OptionSet&, CtlOptions&)> define_options;
   std::function<ExitCode(const Context&)> run;
 };
 
-void define_words(OptionSet& set, CtlOptions& options, const std::string& help) {
-  add_node(set, options);
-  set.accept_words(options.words, help);
+void define_positional(OptionSet& set, CtlOptions& options, const std::string& help) {
+  add_node_options(set, options);
+  set.accept_words(options.positional, help);
 }
 
 std::map<std::string, Command> make_commands() {
-  const auto files_and_node = [](OptionSet& set, CtlOptions& options) {
-    add_node(set, options);
-    add_files(set, options);
+  const auto file_and_node_options = [](OptionSet& set, CtlOptions& options) {
+    add_node_options(set, options);
+    add_file_option(set, options);
   };
   std::map<std::string, Command> commands;
   commands["apply"] = {"Show the difference and make the declared objects the configuration.",
-                       files_and_node,
+                       file_and_node_options,
                        [](const Context& context) { return run_apply(context, true); }};
-  commands["diff"] = {"Show what apply would change.", files_and_node,
+  commands["diff"] = {"Show what apply would change.", file_and_node_options,
                       [](const Context& context) { return run_apply(context, false); }};
-  commands["validate"] = {"Check declared objects offline.", add_files, run_validate};
+  commands["validate"] = {"Check declared objects offline.", add_file_option, run_validate};
   commands["get"] = {"List objects.",
                      [](OptionSet& set, CtlOptions& options) {
-                       define_words(set, options, "[KIND]: only objects of that kind");
+                       define_positional(set, options, "[KIND]: only objects of that kind");
                      },
                      run_get};
   commands["describe"] = {
       "Print one object.",
-      [](OptionSet& set, CtlOptions& options) { define_words(set, options, "KIND/NAME"); },
+      [](OptionSet& set, CtlOptions& options) { define_positional(set, options, "KIND/NAME"); },
       run_describe};
   commands["delete"] = {
       "Remove objects, all or none.",
-      [](OptionSet& set, CtlOptions& options) { define_words(set, options, "KIND/NAME ..."); },
+      [](OptionSet& set, CtlOptions& options) { define_positional(set, options, "KIND/NAME ..."); },
       run_delete};
-  commands["status"] = {"Show nodes, duties and engines.", add_node, run_status};
-  commands["drain"] = {"Make the node leave without cutting a request.", add_node, run_drain};
+  commands["status"] = {"Show nodes, duties and engines.", add_node_options, run_status};
+  commands["drain"] = {"Make the node leave without cutting a request.", add_node_options,
+                       run_drain};
   commands["tenant-key"] = {
       "Make a new key for a tenant; the key before it stays valid for the grace period.",
       [](OptionSet& set, CtlOptions& options) {
-        add_node(set, options);
+        add_node_options(set, options);
         set.add_text("tenant", options.tenant, "Name of the tenant.");
         set.require("tenant");
         set.add_duration("grace", options.grace, Duration(0), std::chrono::hours(24 * 30),
@@ -398,7 +400,7 @@
   }
   Context context{{}, output, errors};
   OptionSet set("shuntbankctl " + name + " [options]");
-  command->second.define(set, context.options);
+  command->second.define_options(set, context.options);
   const OptionsOutcome outcome = set.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
   return command->second.run(context);
--- a/src/ctl/declared_files.cpp
+++ b/src/ctl/declared_files.cpp
@@ -10,7 +10,7 @@
 namespace shuntbank {
 namespace {
 
-std::vector<std::string> expand(const std::vector<std::string>& paths, Findings& findings) {
+std::vector<std::string> list_files(const std::vector<std::string>& paths, Findings& findings) {
   std::vector<std::string> files;
   for (const std::string& path : paths) {
     std::error_code error;
@@ -27,7 +27,7 @@
   return files;
 }
 
-void read_object(const nlohmann::json& item, const std::string& place, DeclaredFiles& declared) {
+void parse_object(const nlohmann::json& item, const std::string& place, DeclaredFiles& declared) {
   FieldReader reader(item, place, declared.findings);
   const std::string kind_text = reader.text("kind", true);
   const std::string name = reader.text("name", true);
@@ -52,10 +52,10 @@
   } catch (const nlohmann::json::exception& error) {
     return declared.findings.add(path, error.what());
   }
-  if (!content.is_array()) return read_object(content, path + ":", declared);
+  if (!content.is_array()) return parse_object(content, path + ":", declared);
   std::size_t index = 0;
   for (const nlohmann::json& item : content) {
-    read_object(item, path + ":/" + std::to_string(index++), declared);
+    parse_object(item, path + ":/" + std::to_string(index++), declared);
   }
 }
 
@@ -64,7 +64,7 @@
 DeclaredFiles read_declared_files(const std::vector<std::string>& paths) {
   DeclaredFiles declared;
   if (paths.empty()) declared.findings.add("--file", "is required");
-  for (const std::string& file : expand(paths, declared.findings)) read_file(file, declared);
+  for (const std::string& file : list_files(paths, declared.findings)) read_file(file, declared);
   return declared;
 }
 
--- a/src/engine/engine_api.cpp
+++ b/src/engine/engine_api.cpp
@@ -29,20 +29,20 @@
   return *role;
 }
 
-DesiredState read_desired(const nlohmann::json& json) {
+DesiredState parse_desired(const nlohmann::json& json) {
   return {role_from_json(json.at("role")), models_from_json(json.at("models")),
           json.at("accepting").get<bool>()};
 }
 
-OrderStamp read_stamp(const nlohmann::json& json) {
+OrderStamp parse_stamp(const nlohmann::json& json) {
   return {json.at("fence").get<Fence>(), json.at("sequence").get<Sequence>()};
 }
 
 /// Runs `read` and turns the library's exceptions for absent or wrong fields into a message.
-template <typename Result, typename Read>
-tl::expected<Result, std::string> checked(Read read) {
+template <typename Result, typename Parse>
+tl::expected<Result, std::string> try_parse(Parse parse) {
   try {
-    return read();
+    return parse();
   } catch (const std::exception& error) {
     return tl::make_unexpected(std::string(error.what()));
   }
@@ -57,7 +57,7 @@
 }
 
 tl::expected<DesiredState, std::string> desired_from_json(const nlohmann::json& json) {
-  return checked<DesiredState>([&] { return read_desired(json); });
+  return try_parse<DesiredState>([&] { return parse_desired(json); });
 }
 
 nlohmann::json to_json(const EngineOrder& order) {
@@ -67,8 +67,8 @@
 }
 
 tl::expected<EngineOrder, std::string> order_from_json(const nlohmann::json& json) {
-  return checked<EngineOrder>([&] {
-    return EngineOrder{read_stamp(json), read_desired(json.at("desired"))};
+  return try_parse<EngineOrder>([&] {
+    return EngineOrder{parse_stamp(json), parse_desired(json.at("desired"))};
   });
 }
 
@@ -83,10 +83,10 @@
 }
 
 tl::expected<EngineState, std::string> state_from_json(const nlohmann::json& json) {
-  return checked<EngineState>([&] {
+  return try_parse<EngineState>([&] {
     EngineState state;
-    state.stamp = read_stamp(json);
-    state.desired = read_desired(json.at("desired"));
+    state.stamp = parse_stamp(json);
+    state.desired = parse_desired(json.at("desired"));
     state.role = role_from_json(json.at("role"));
     state.changing = json.at("changing").get<bool>();
     state.models = models_from_json(json.at("models"));
@@ -103,10 +103,12 @@
 tl::expected<LoadReport, std::string> load_from_header(const std::string& text) {
   std::istringstream input(text);
   LoadReport report;
-  char first = 0;
-  char second = 0;
-  input >> report.running >> first >> report.waiting >> second >> report.waiting_tokens;
-  if (!input || first != '/' || second != '/') return tl::make_unexpected("not a load report");
+  char first_separator = 0;
+  char second_separator = 0;
+  input >> report.running >> first_separator >> report.waiting >> second_separator >>
+      report.waiting_tokens;
+  if (!input || first_separator != '/' || second_separator != '/')
+    return tl::make_unexpected("not a load report");
   return report;
 }
 
--- a/src/engine/engine_client.cpp
+++ b/src/engine/engine_client.cpp
@@ -10,7 +10,8 @@
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr int kConflict = 409;
 
-OutgoingRequest post(const std::string& address, const char* path, const nlohmann::json& body) {
+OutgoingRequest make_post_request(const std::string& address, const char* path,
+                                  const nlohmann::json& body) {
   OutgoingRequest request;
   request.method = "POST";
   request.url = "http://" + address + path;
@@ -19,7 +20,7 @@
   return request;
 }
 
-tl::expected<EngineState, EngineCallError> read_reply(
+tl::expected<EngineState, EngineCallError> parse_reply(
     const tl::expected<HttpReply, TransferError>& reply) {
   if (!reply) return tl::make_unexpected(EngineCallError::kNoAnswer);
   if (reply->status == kConflict) return tl::make_unexpected(EngineCallError::kStale);
@@ -35,12 +36,13 @@
 }  // namespace
 
 void EngineClient::claim(const std::string& address, Fence fence, StateHandler handler) {
-  call(post(address, engine_api::kClaimPath, {{"fence", fence}}), std::move(handler));
+  call(make_post_request(address, engine_api::kClaimPath, {{"fence", fence}}), std::move(handler));
 }
 
 void EngineClient::send_order(const std::string& address, const EngineOrder& order,
                               StateHandler handler) {
-  call(post(address, engine_api::kOrderPath, engine_api::to_json(order)), std::move(handler));
+  call(make_post_request(address, engine_api::kOrderPath, engine_api::to_json(order)),
+       std::move(handler));
 }
 
 void EngineClient::read_state(const std::string& address, StateHandler handler) {
@@ -52,7 +54,7 @@
 void EngineClient::call(OutgoingRequest request, StateHandler handler) {
   request.total_timeout = kCallTimeout;
   http_.fetch(std::move(request),
-              [handler = std::move(handler)](const auto& reply) { handler(read_reply(reply)); });
+              [handler = std::move(handler)](const auto& reply) { handler(parse_reply(reply)); });
 }
 
 }  // namespace shuntbank
--- a/src/engine/event_stream.cpp
+++ b/src/engine/event_stream.cpp
@@ -8,7 +8,7 @@
 constexpr std::string_view kSeparator = "\n\n";
 
 /// @return the value behind `name` when `line` is that field.
-bool read_field(std::string_view line, std::string_view name, std::string_view& value) {
+bool parse_field(std::string_view line, std::string_view name, std::string_view& value) {
   if (line.substr(0, name.size()) != name) return false;
   line.remove_prefix(name.size());
   if (!line.empty() && line.front() == ' ') line.remove_prefix(1);
@@ -16,13 +16,13 @@
   return true;
 }
 
-ServerSentEvent read_event(std::string_view text) {
+ServerSentEvent parse_event(std::string_view text) {
   ServerSentEvent event;
   while (!text.empty()) {
     const std::size_t end = std::min(text.find('\n'), text.size());
     const std::string_view line = text.substr(0, end);
     text.remove_prefix(std::min(end + 1, text.size()));
-    if (!read_field(line, "id:", event.id)) read_field(line, "data:", event.data);
+    if (!parse_field(line, "id:", event.id)) parse_field(line, "data:", event.data);
   }
   return event;
 }
@@ -32,30 +32,30 @@
 bool EventStreamSplitter::feed(std::string_view piece,
                                const std::function<void(const ServerSentEvent&)>& handler) {
   // Whole events are read in place; only a tail without its end is copied.
-  std::string joined;
+  std::string buffered;
   if (!partial_.empty()) {
-    joined = std::move(partial_);
+    buffered = std::move(partial_);
     partial_.clear();
-    joined += piece;
-    piece = joined;
+    buffered += piece;
+    piece = buffered;
   }
   for (std::size_t end = piece.find(kSeparator); end != std::string_view::npos;
        end = piece.find(kSeparator)) {
-    handler(read_event(piece.substr(0, end)));
+    handler(parse_event(piece.substr(0, end)));
     piece.remove_prefix(end + kSeparator.size());
   }
   partial_ = std::string(piece);
   return partial_.size() <= kMaxEventSize;
 }
 
-std::optional<ChunkPlace> parse_chunk_place(std::string_view id) {
-  const std::size_t colon = id.rfind(':');
+std::optional<ChunkId> parse_chunk_id(std::string_view text) {
+  const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
   std::uint32_t index = 0;
-  const char* end = id.data() + id.size();
-  const auto [rest, error] = std::from_chars(id.data() + colon + 1, end, index);
+  const char* end = text.data() + text.size();
+  const auto [rest, error] = std::from_chars(text.data() + colon + 1, end, index);
   if (error != std::errc{} || rest != end) return std::nullopt;
-  return ChunkPlace{AttemptId(std::string(id.substr(0, colon))), index};
+  return ChunkId{AttemptId(std::string(text.substr(0, colon))), index};
 }
 
 }  // namespace shuntbank
--- a/src/engine/event_stream.hpp
+++ b/src/engine/event_stream.hpp
@@ -35,12 +35,12 @@
 };
 
 /// Place of a chunk: which attempt it belongs to and the index of its token.
-struct ChunkPlace {
+struct ChunkId {
   AttemptId attempt;
   std::uint32_t index = 0;
 };
 
 /// Reads the id field of an engine's event, `ATTEMPT:INDEX`.
-std::optional<ChunkPlace> parse_chunk_place(std::string_view id);
+std::optional<ChunkId> parse_chunk_id(std::string_view text);
 
 }  // namespace shuntbank
--- a/src/engine/prompt.cpp
+++ b/src/engine/prompt.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-void read_messages(const nlohmann::json& body, PromptFacts& facts, Findings& findings) {
+void parse_messages(const nlohmann::json& body, ParsedPrompt& parsed, Findings& findings) {
   const auto messages = body.find("messages");
   if (messages == body.end() || !messages->is_array() || messages->empty()) {
     findings.add("/messages", "must be a list of at least one message");
@@ -39,25 +39,25 @@
       findings.add(place, "must be an object with a role");
       continue;
     }
-    facts.text += message["role"].get_ref<const std::string&>() + ":";
+    parsed.text += message["role"].get_ref<const std::string&>() + ":";
     if (message.contains("content")) {
-      append_content(message["content"], place + "/content", facts.text, findings);
+      append_content(message["content"], place + "/content", parsed.text, findings);
     }
-    facts.text += "\n";
+    parsed.text += "\n";
   }
 }
 
-void read_text_prompt(const nlohmann::json& body, PromptFacts& facts, Findings& findings) {
+void parse_text_prompt(const nlohmann::json& body, ParsedPrompt& parsed, Findings& findings) {
   const auto prompt = body.find("prompt");
   if (prompt == body.end() || !prompt->is_string()) {
     findings.add("/prompt", "must be text");
     return;
   }
-  facts.text = prompt->get<std::string>();
+  parsed.text = prompt->get<std::string>();
 }
 
-bool read_bool(const nlohmann::json& object, const char* key, const std::string& place,
-               Findings& findings) {
+bool parse_bool(const nlohmann::json& object, const char* key, const std::string& place,
+                Findings& findings) {
   const auto field = object.find(key);
   if (field == object.end() || field->is_null()) return false;
   if (field->is_boolean()) return field->get<bool>();
@@ -65,7 +65,7 @@
   return false;
 }
 
-std::uint32_t read_output_tokens(const nlohmann::json& body, Findings& findings) {
+std::uint32_t parse_output_tokens(const nlohmann::json& body, Findings& findings) {
   for (const char* key : {"max_completion_tokens", "max_tokens"}) {
     const auto field = body.find(key);
     if (field == body.end() || field->is_null()) continue;
@@ -80,33 +80,33 @@
 
 }  // namespace
 
-PromptFacts read_prompt(CompletionKind kind, const nlohmann::json& body, Findings& findings) {
-  PromptFacts facts;
+ParsedPrompt parse_prompt(CompletionKind kind, const nlohmann::json& body, Findings& findings) {
+  ParsedPrompt parsed;
   if (!body.is_object()) {
     findings.add("/", "must be an object");
-    return facts;
+    return parsed;
   }
   const auto model = body.find("model");
   if (model == body.end() || !model->is_string()) {
     findings.add("/model", "must be text");
   } else {
-    facts.model = model->get<std::string>();
+    parsed.model = model->get<std::string>();
   }
-  if (kind == CompletionKind::kChat) read_messages(body, facts, findings);
-  if (kind == CompletionKind::kText) read_text_prompt(body, facts, findings);
-  facts.stream = read_bool(body, "stream", "/stream", findings);
+  if (kind == CompletionKind::kChat) parse_messages(body, parsed, findings);
+  if (kind == CompletionKind::kText) parse_text_prompt(body, parsed, findings);
+  parsed.stream = parse_bool(body, "stream", "/stream", findings);
   const auto options = body.find("stream_options");
   if (options != body.end() && options->is_object()) {
-    facts.wants_usage =
-        read_bool(*options, "include_usage", "/stream_options/include_usage", findings);
+    parsed.wants_usage =
+        parse_bool(*options, "include_usage", "/stream_options/include_usage", findings);
   }
-  facts.max_output_tokens = read_output_tokens(body, findings);
+  parsed.max_output_tokens = parse_output_tokens(body, findings);
   const auto count = body.find("n");
   if (count != body.end() && !count->is_null() && *count != 1) {
     findings.add("/n", "must be 1: one answer for each request");
   }
-  facts.prompt_tokens = std::max<std::uint64_t>(1, facts.text.size() / kCharactersPerToken);
-  return facts;
+  parsed.prompt_tokens = std::max<std::uint64_t>(1, parsed.text.size() / kCharactersPerToken);
+  return parsed;
 }
 
 }  // namespace shuntbank
--- a/src/engine/prompt.hpp
+++ b/src/engine/prompt.hpp
@@ -13,7 +13,7 @@
 enum class CompletionKind { kChat, kText };
 
 /// Facts of a checked request body.
-struct PromptFacts {
+struct ParsedPrompt {
   std::string model;
   std::string text;                 ///< The whole prompt. Never logged.
   std::uint64_t prompt_tokens = 1;  ///< Estimated.
@@ -30,6 +30,6 @@
 
 /// Reads the facts and checks types. Fields that only engines need are left alone.
 /// @param findings gains one entry for each problem, with its place.
-PromptFacts read_prompt(CompletionKind kind, const nlohmann::json& body, Findings& findings);
+ParsedPrompt parse_prompt(CompletionKind kind, const nlohmann::json& body, Findings& findings);
 
 }  // namespace shuntbank
--- a/src/node/caller_api.cpp
+++ b/src/node/caller_api.cpp
@@ -142,7 +142,7 @@
   auto body = parse_bounded(request.body, settings_.max_json_depth);
   if (!body) return refuse(id, invalid(body.error()), responder);
   Findings findings;
-  const PromptFacts facts = read_prompt(kind, *body, findings);
+  const ParsedPrompt facts = parse_prompt(kind, *body, findings);
   if (!findings.empty()) return refuse(id, invalid(findings.to_text()), responder);
   const SnapshotPointer snapshot = config_.replica().snapshot();
   const ModelRoute* route = snapshot->find_model(facts.model);
--- a/src/node/request_session.cpp
+++ b/src/node/request_session.cpp
@@ -204,7 +204,7 @@
 
 void RequestSession::on_event(const ServerSentEvent& event) {
   if (broken_ || done_marker_) return;
-  const auto place = parse_chunk_place(event.id);
+  const auto place = parse_chunk_id(event.id);
   if (event.data == kDoneMarker) {
     // The end counts only from the current attempt, and only when every token was delivered.
     const bool own = place && place->attempt == progress_.current_attempt();
@@ -219,7 +219,7 @@
   }
 }
 
-void RequestSession::deliver(const ServerSentEvent& event, const ChunkPlace& place) {
+void RequestSession::deliver(const ServerSentEvent& event, const ChunkId& place) {
   switch (progress_.accept_chunk(place.attempt, place.index)) {
     case ChunkVerdict::kDrop:
       context_.metrics.count_dropped_chunk();
--- a/src/node/request_session.hpp
+++ b/src/node/request_session.hpp
@@ -102,7 +102,7 @@
   void on_headers(int status, const HttpHeaders& headers);
   bool on_data(std::string_view piece);
   void on_event(const ServerSentEvent& event);
-  void deliver(const ServerSentEvent& event, const ChunkPlace& place);
+  void deliver(const ServerSentEvent& event, const ChunkId& place);
   void on_done(const tl::expected<void, TransferError>& result);
   void on_prefill_done();
   void on_whole_answer();
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -34,7 +34,7 @@
   RequestId request;
   AttemptId attempt;
   CompletionKind kind = CompletionKind::kChat;
-  PromptFacts facts;
+  ParsedPrompt facts;
   JobPart part = JobPart::kWhole;
   Responder responder;
   std::string collected;  ///< Text so far, when the reply is not streamed.
@@ -153,7 +153,7 @@
           ? CompletionKind::kText
           : CompletionKind::kChat;
   Findings findings;
-  answer->facts = read_prompt(answer->kind, body, findings);
+  answer->facts = parse_prompt(answer->kind, body, findings);
   if (!findings.empty()) {
     HttpReply reply = json_reply(400, {{"error", findings.to_text()}});
     reply.headers.add(engine_api::kOutcomeHeader, engine_api::kNotRun);
--- a/tests/ctl/declared_files_test.cpp
+++ b/tests/ctl/declared_files_test.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-struct Run {
+struct CommandResult {
   ExitCode code;
   std::string output;
   std::string errors;
 };
 
-Run run(const std::vector<std::string>& arguments) {
+CommandResult run(const std::vector<std::string>& arguments) {
   std::ostringstream output;
   std::ostringstream errors;
   const ExitCode code = run_ctl(arguments, output, errors);
@@ -26,7 +26,8 @@
 
 Test(ctl, the_shipped_examples_are_valid) {
   for (const char* site : {"partida-guardada", "petalwire"}) {
-    const Run result = run({"validate", "-f", std::string(SHUNTBANK_SOURCE "/examples/") + site});
+    const CommandResult result =
+        run({"validate", "-f", std::string(SHUNTBANK_SOURCE "/examples/") + site});
     cr_assert_eq(result.code, ExitCode::kSuccess, "%s", result.errors.c_str());
     cr_assert_eq(result.output, "19 objects are valid\n");
   }
