--- a/src/apps/shuntbank_bench.cpp
+++ b/src/apps/shuntbank_bench.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The load and experiment tool.
+/// Entry point of the load generator and experiment tool.
 
 #include <iostream>
 
--- a/src/apps/shuntbank_standin.cpp
+++ b/src/apps/shuntbank_standin.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The stand-in program: one platform or one engine a process.
+/// Entry point of the stand-in: emulates one platform or one engine per process.
 
 #include <asio/signal_set.hpp>
 #include <csignal>
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kMaxStandinBody = 64UL << 20U;
 
-/// Serves `standin` on its address until a signal comes.
+/// Serves `standin` on its address until SIGTERM or SIGINT.
 template <typename Standin>
 void serve(asio::io_context& loop, const HttpServerSettings& settings, Standin& standin) {
   const HttpServer server(
@@ -32,7 +32,7 @@
   loop.run();
 }
 
-/// Adds the option for the listening address, which both roles have.
+/// Adds the listening address, an option of both roles.
 void add_listen(OptionSet& options, HttpServerSettings& server) {
   server.max_body = kMaxStandinBody;
   options.add("listen", "IP:PORT to listen on; port 0: any.", "127.0.0.1:0",
@@ -45,7 +45,7 @@
   server.listen = *parse_endpoint("127.0.0.1:0");
 }
 
-/// Reads `NAME@VERSION` or `NAME@VERSION:ADAPTER,ADAPTER`.
+/// Parses `NAME@VERSION` or `NAME@VERSION:ADAPTER,ADAPTER`.
 tl::expected<ModelSpec, std::string> parse_model(const std::string& text) {
   const std::size_t at = text.find('@');
   if (at == std::string::npos || at == 0) {
@@ -69,7 +69,8 @@
   PlatformStandinSettings settings;
   OptionSet options("shuntbank-standin platform [options]");
   add_listen(options, server);
-  options.add_whole("max-watches", settings.max_watches, 1, 10000, "Most watches at once.");
+  options.add_whole("max-watches", settings.max_watches, 1, 10000,
+                    "Maximum number of concurrent watches.");
   options.add_duration("machine-list-lag", settings.machine_list_lag, Duration(0),
                        std::chrono::minutes(10), "Lag of the machine list.");
   const OptionsOutcome outcome = options.read(arguments, std::cout, std::cerr);
@@ -86,31 +87,32 @@
   EngineStandinSettings settings;
   OptionSet options("shuntbank-standin engine [options]");
   add_listen(options, server);
-  options.add_flag("plain", settings.plain, "Be a plain service instead of a model engine.");
-  options.add("model", "Model held at the start, NAME@VERSION[:ADAPTER,...]. May be repeated.", "",
-              [&settings](const std::string& text) -> tl::expected<void, std::string> {
+  options.add_flag("plain", settings.plain, "Emulate a plain service instead of a model engine.");
+  options.add("model", "Model loaded at the start, NAME@VERSION[:ADAPTER,...]. May be repeated.",
+              "", [&settings](const std::string& text) -> tl::expected<void, std::string> {
                 const auto model = parse_model(text);
                 if (!model) return tl::make_unexpected(model.error());
                 settings.preloaded.push_back(*model);
                 return {};
               });
   options.add_number("time-scale", settings.time_scale, 0.01, 1000,
-                     "Emulated seconds in a second.");
+                     "Emulated seconds per real second.");
   options.add_duration("load-lag", settings.load_lag, Duration(0), std::chrono::minutes(1),
                        "Age of load reports.");
   options.add_duration("step-base", settings.costs.step_base, Duration(1), std::chrono::minutes(1),
-                       "Emulated time of a step of the batch, at least.");
+                       "Minimum emulated time of a batch step.");
   options.add_duration("step-per-sequence", settings.costs.step_per_sequence, Duration(0),
-                       std::chrono::minutes(1), "Emulated time that a sequence adds to a step.");
+                       std::chrono::minutes(1), "Emulated time that each sequence adds to a step.");
   options.add_number("prefill-rate", settings.costs.prefill_tokens_per_second, 1, 1e12,
-                     "Prompt tokens prefilled in an emulated second.");
+                     "Prompt tokens prefilled per emulated second.");
   std::uint64_t max_waiting = settings.costs.max_waiting;
   options.add_whole("max-waiting", max_waiting, 1, 1'000'000, "Requests beyond this are refused.");
   std::uint64_t max_batch = settings.costs.max_batch;
-  options.add_whole("max-batch", max_batch, 1, 100000, "Sequences that decode at once.");
+  options.add_whole("max-batch", max_batch, 1, 100000,
+                    "Maximum number of sequences decoded concurrently.");
   options.add_duration("role-change-time", settings.costs.role_change_time, Duration(0),
-                       std::chrono::hours(1), "Emulated time of a change of role.");
-  options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Seed of lost cache events.");
+                       std::chrono::hours(1), "Emulated time of a role change.");
+  options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Random seed for lost cache events.");
   const OptionsOutcome outcome = options.read(arguments, std::cout, std::cerr);
   if (!outcome.run) return static_cast<int>(outcome.code);
   settings.costs.max_batch = max_batch;
--- a/src/apps/shuntbankctl.cpp
+++ b/src/apps/shuntbankctl.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' command line.
+/// Entry point of the operators' command-line tool.
 
 #include <iostream>
 
--- a/src/apps/shuntbankd.cpp
+++ b/src/apps/shuntbankd.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The node program.
+/// Entry point of the node daemon.
 
 #include <asio/signal_set.hpp>
 #include <csignal>
@@ -18,7 +18,7 @@
   signals.async_wait([&](const std::error_code& error, int) {
     if (error) return;
     node.leave();
-    // A second signal does not wait any longer.
+    // A second signal stops at once, without draining.
     signals.async_wait([&loop](const std::error_code&, int) { loop.stop(); });
   });
   loop.run();
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-/// Options of all commands; each command defines those that it has.
+/// Options of all commands; each command registers only its own.
 struct CtlOptions {
   std::string node = "127.0.0.1:8081";
   std::vector<std::string> files;
@@ -27,7 +27,7 @@
   bool remove = false;
 };
 
-/// What a command works with.
+/// Options and output streams of a command run.
 struct Context {
   CtlOptions options;
   std::ostream& output;
@@ -52,12 +52,13 @@
   set.add_texts("file", options.files, "File or folder of declared objects; also -f.");
 }
 
-/// Calls the node. @return the answer's JSON and status, or nothing after an error was printed.
+/// Status and JSON body of the node's answer to a call.
 struct Answer {
   int status = 0;
   json body;
 };
 
+/// Calls the node. @return nothing after printing an error.
 std::optional<Answer> call(const Context& context, const std::string& method,
                            const std::string& path, const json& body = nullptr) {
   OutgoingRequest request;
@@ -82,7 +83,7 @@
   return std::nullopt;
 }
 
-/// @return the declared objects, or nothing after the findings were printed.
+/// @return the declared objects; nothing if there were findings, which are then printed.
 std::optional<DeclaredFiles> load_declared(const Context& context) {
   DeclaredFiles declared = read_declared_files(context.options.files);
   if (declared.findings.empty()) return declared;
@@ -119,8 +120,8 @@
   if (!body.is_object()) return ExitCode::kFailure;
   for (const json& conflict : body.value("conflicts", json::array())) {
     context.errors << "conflict: " << conflict.value("object", "") << " is at version "
-                   << conflict.value("current_version", 0) << ", not at version "
-                   << conflict.value("base_version", 0) << " as when it was read\n";
+                   << conflict.value("current_version", 0) << "; the edit is based on version "
+                   << conflict.value("base_version", 0) << "\n";
   }
   for (const json& finding : body.value("findings", json::array())) {
     context.errors << finding.value("place", "") << ": " << finding.value("message", "") << "\n";
@@ -165,7 +166,7 @@
   return send_edits(context, edits);
 }
 
-/// Splits `Kind/name`. @return nothing after an error was printed.
+/// Parses `Kind/name`. @return nothing after printing an error.
 std::optional<ObjectKey> parse_object_name(const Context& context, const std::string& object_name) {
   const std::size_t slash = object_name.find('/');
   const auto kind = parse_object_kind(object_name.substr(0, slash));
@@ -274,11 +275,11 @@
 ExitCode run_drain(const Context& context) {
   const auto answer = call(context, "POST", "/v1/drain");
   if (!answer || answer->status != 200) return ExitCode::kFailure;
-  context.output << "the node is leaving\n";
+  context.output << "the node is draining\n";
   return ExitCode::kSuccess;
 }
 
-/// Adds a fresh key to a tenant and lets the one before it run out after the grace period.
+/// Adds a new key to a tenant's spec; the previous key expires after the grace period.
 json rotate_keys(const json& spec, const std::string& key, Duration grace) {
   json updated = spec;
   json keys = json::array();
@@ -315,7 +316,7 @@
   return code;
 }
 
-/// A command's name, its one line of help, its options and what it does.
+/// A command's one-line help, option definitions and implementation.
 struct Command {
   std::string help;
   std::function<void(OptionSet&, CtlOptions&)> define_options;
@@ -353,16 +354,16 @@
       [](OptionSet& set, CtlOptions& options) { define_positional(set, options, "KIND/NAME ..."); },
       run_delete};
   commands["status"] = {"Show nodes, duties and engines.", add_node_options, run_status};
-  commands["drain"] = {"Make the node leave without cutting a request.", add_node_options,
+  commands["drain"] = {"Make the node leave without interrupting requests.", add_node_options,
                        run_drain};
   commands["tenant-key"] = {
-      "Make a new key for a tenant; the key before it stays valid for the grace period.",
+      "Make a new key for a tenant; the previous key stays valid for the grace period.",
       [](OptionSet& set, CtlOptions& options) {
         add_node_options(set, options);
         set.add_text("tenant", options.tenant, "Name of the tenant.");
         set.require("tenant");
         set.add_duration("grace", options.grace, Duration(0), std::chrono::hours(24 * 30),
-                         "How long the key before stays valid.");
+                         "How long the previous key stays valid.");
       },
       run_tenant_key};
   return commands;
--- a/src/ctl/declared_files.hpp
+++ b/src/ctl/declared_files.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Declared objects from files: one object or a list of objects a file, in JSON.
+/// Loads declared objects from JSON files; each file holds one object or a list of objects.
 #pragma once
 
 #include <map>
@@ -11,13 +11,13 @@
 
 namespace shuntbank {
 
-/// What a set of files declares.
+/// Objects declared by a set of files.
 struct DeclaredFiles {
   std::map<ObjectKey, nlohmann::json> objects;
-  Findings findings;  ///< Each with its file and place; the objects are usable only without any.
+  Findings findings;  ///< By file and position; use `objects` only if there are none.
 };
 
-/// Reads files, and all `*.json` files of folders.
+/// Reads files, and all `*.json` files of directories.
 DeclaredFiles read_declared_files(const std::vector<std::string>& paths);
 
 /// Checks declared objects offline, as one configuration.
--- a/src/ctl/table.hpp
+++ b/src/ctl/table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Plain text tables for people.
+/// Plain-text tables for terminal output.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace shuntbank {
 
-/// Rows of text under headings, with columns as wide as needed.
+/// Rows of text under headings; each column is as wide as its widest cell.
 class Table {
  public:
   explicit Table(std::vector<std::string> headings) { add(std::move(headings)); }
--- a/src/engine/engine_api.cpp
+++ b/src/engine/engine_api.cpp
@@ -38,7 +38,7 @@
   return {json.at("fence").get<Fence>(), json.at("sequence").get<Sequence>()};
 }
 
-/// Runs `read` and turns the library's exceptions for absent or wrong fields into a message.
+/// Runs `parse` and converts JSON exceptions for missing or invalid fields to an error message.
 template <typename Result, typename Parse>
 tl::expected<Result, std::string> try_parse(Parse parse) {
   try {
--- a/src/engine/engine_api.hpp
+++ b/src/engine/engine_api.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The published interface of engines, as this system uses it: paths, header fields and bodies.
+/// The published interface of engines: paths, header fields and bodies.
 /// docs/design/0002-published-interfaces.md describes it.
 #pragma once
 
@@ -26,7 +26,7 @@
 constexpr const char* kRequestIdHeader = "X-Request-Id";
 constexpr const char* kAttemptIdHeader = "X-Attempt-Id";
 constexpr const char* kPriorityHeader = "X-Priority";
-/// Set to `not_run` on an error by which the engine itself says that it ran nothing.
+/// Set to `not_run` on an error when the engine confirms that it ran nothing.
 constexpr const char* kOutcomeHeader = "X-Engine-Outcome";
 constexpr const char* kNotRun = "not_run";
 /// Load at the time of the reply, as `running/waiting/waiting tokens`.
--- a/src/engine/engine_client.hpp
+++ b/src/engine/engine_client.hpp
@@ -11,26 +11,26 @@
 
 namespace shuntbank {
 
-/// Why a control call brought no state.
+/// Why a control call returned no state.
 enum class EngineCallError {
   kNoAnswer,  ///< No usable answer; the call may have taken effect.
-  kStale,     ///< The engine holds something newer and refused.
+  kStale,     ///< The engine refused: it already has a newer fence or order.
 };
 
-/// Sends claims, orders and reads to engines.
+/// Sends claims, orders and state queries to engines.
 class EngineClient {
  public:
   using StateHandler = std::function<void(tl::expected<EngineState, EngineCallError>)>;
 
   explicit EngineClient(HttpClient& http) : http_(http) {}
 
-  /// Raises the engine's fence; answers with its state.
+  /// Raises the engine's fence and passes its state to `handler`.
   void claim(const std::string& address, Fence fence, StateHandler handler);
 
-  /// Sends an order; answers with the engine's state after it.
+  /// Sends an order and passes the resulting state to `handler`.
   void send_order(const std::string& address, const EngineOrder& order, StateHandler handler);
 
-  /// Reads the engine's state.
+  /// Queries the engine's state.
   void read_state(const std::string& address, StateHandler handler);
 
  private:
--- a/src/engine/event_stream.cpp
+++ b/src/engine/event_stream.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::string_view kSeparator = "\n\n";
 
-/// @return the value behind `name` when `line` is that field.
+/// Stores the value of the field `name` in `value`. @return whether `line` is that field.
 bool parse_field(std::string_view line, std::string_view name, std::string_view& value) {
   if (line.substr(0, name.size()) != name) return false;
   line.remove_prefix(name.size());
@@ -31,7 +31,7 @@
 
 bool EventStreamSplitter::feed(std::string_view piece,
                                const std::function<void(const ServerSentEvent&)>& handler) {
-  // Whole events are read in place; only a tail without its end is copied.
+  // Parses complete events in place and copies only an incomplete last event.
   std::string buffered;
   if (!partial_.empty()) {
     buffered = std::move(partial_);
--- a/src/engine/event_stream.hpp
+++ b/src/engine/event_stream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Splits a body of server-sent events into events, whatever pieces it arrives in.
+/// Incremental parser for a body of server-sent events.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,10 @@
 /// The end marker of a stream in the OpenAI interface.
 constexpr std::string_view kDoneMarker = "[DONE]";
 
-/// Collects pieces and hands on whole events.
+/// Buffers incomplete events and delivers complete ones.
 class EventStreamSplitter {
  public:
-  /// @return false when an event grows beyond `kMaxEventSize`: the stream is not usable.
+  /// @return false when an event exceeds `kMaxEventSize`; the stream cannot be continued.
   bool feed(std::string_view piece, const std::function<void(const ServerSentEvent&)>& handler);
 
   /// Largest event, in bytes.
@@ -34,13 +34,13 @@
   std::string partial_;
 };
 
-/// Place of a chunk: which attempt it belongs to and the index of its token.
+/// Identifies a chunk by its attempt and the index of its token.
 struct ChunkId {
   AttemptId attempt;
   std::uint32_t index = 0;
 };
 
-/// Reads the id field of an engine's event, `ATTEMPT:INDEX`.
+/// Parses the id field of an engine's event, `ATTEMPT:INDEX`.
 std::optional<ChunkId> parse_chunk_id(std::string_view text);
 
 }  // namespace shuntbank
--- a/src/engine/prompt.hpp
+++ b/src/engine/prompt.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What routing and limits need to know of an OpenAI-compatible request body.
+/// Parses the fields of an OpenAI-compatible request body that routing and limits need.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 enum class CompletionKind { kChat, kText };
 
-/// Facts of a checked request body.
+/// Validated fields of a request body.
 struct ParsedPrompt {
   std::string model;
   std::string text;                 ///< The whole prompt. Never logged.
@@ -22,14 +22,14 @@
   bool wants_usage = false;  ///< `stream_options.include_usage`.
 };
 
-/// Tokens of output that are assumed when a request does not bound them.
+/// Output tokens assumed for a request that sets no limit.
 constexpr std::uint32_t kDefaultOutputTokens = 16;
 
-/// Most tokens of output that a request may ask for.
+/// Maximum output tokens that a request may set.
 constexpr std::uint32_t kMaxOutputTokens = 32768;
 
-/// Reads the facts and checks types. Fields that only engines need are left alone.
-/// @param findings gains one entry for each problem, with its place.
+/// Parses the body and checks types. Ignores fields that only engines need.
+/// @param findings receives one entry per problem, with its JSON pointer.
 ParsedPrompt parse_prompt(CompletionKind kind, const nlohmann::json& body, Findings& findings);
 
 }  // namespace shuntbank
--- a/tests/engine/event_stream_test.cpp
+++ b/tests/engine/event_stream_test.cpp
@@ -11,7 +11,7 @@
   for (int i = 0; i < 20; ++i) {
     body += "id: r.1:" + std::to_string(i) + "\ndata: {\"t\":" + std::to_string(i) + "}\n\n";
   }
-  SHUNTBANK_PROPERTY("any pieces", [&body] {
+  SHUNTBANK_PROPERTY("any fragmentation", [&body] {
     EventStreamSplitter splitter;
     std::vector<std::string> events;
     std::string_view rest = body;
