--- a/src/bench/configuration_command.cpp
+++ b/src/bench/configuration_command.cpp
@@ -12,11 +12,11 @@
 
 struct ConfigurationSettings {
   std::uint64_t routes = 1450;
-  std::uint64_t changed = 1;
+  std::uint64_t changed_routes = 1;
   std::uint64_t rounds = 50;
 };
 
-relay::RouteConfiguration configuration_of(std::uint64_t routes) {
+relay::RouteConfiguration make_configuration(std::uint64_t routes) {
   relay::RouteConfiguration configuration;
   configuration.version = 1;
   configuration.services.push_back({ServiceName("service"), 100, std::nullopt});
@@ -32,10 +32,10 @@
 }
 
 /// @return milliseconds that one of so many calls takes on average.
-double ms_each(std::uint64_t rounds, const std::function<void()>& call) {
-  const MonotonicTime begun = monotonic_now();
-  for (std::uint64_t i = 0; i < rounds; ++i) call();
-  return to_ms(monotonic_now() - begun) / static_cast<double>(rounds);
+double mean_ms(std::uint64_t rounds, const std::function<void()>& operation) {
+  const MonotonicTime start = monotonic_now();
+  for (std::uint64_t i = 0; i < rounds; ++i) operation();
+  return to_ms(monotonic_now() - start) / static_cast<double>(rounds);
 }
 
 }  // namespace
@@ -45,32 +45,36 @@
   ConfigurationSettings settings;
   OptionSet options("shuntbank-bench configuration [options]");
   options.add_whole("routes", settings.routes, 1, 1000000, "Routes in the configuration.");
-  options.add_whole("changed", settings.changed, 0, 1000000, "Routes that the newer one changes.");
+  options.add_whole("changed", settings.changed_routes, 0, 1000000,
+                    "Routes that the newer one changes.");
   options.add_whole("rounds", settings.rounds, 1, 100000, "Times that each step is done.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
-  const relay::RouteConfiguration held = configuration_of(settings.routes);
-  relay::RouteConfiguration newer = held;
-  for (std::uint64_t i = 0; i < std::min(settings.changed, settings.routes); ++i) {
-    newer.routes[i].max_attempts = 7;
+  const relay::RouteConfiguration old_configuration = make_configuration(settings.routes);
+  relay::RouteConfiguration new_configuration = old_configuration;
+  for (std::uint64_t i = 0; i < std::min(settings.changed_routes, settings.routes); ++i) {
+    new_configuration.routes[i].max_attempts = 7;
   }
-  const ConfigurationSummary known = summarize(held, 1);
-  const ConfigurationSummary own = summarize(newer, 2);
-  const std::string call = encode(ConfigurationCall{known, kMaxConfigurationMessage});
-  const std::string whole = encode(ConfigurationMessage{2, newer});
-  const std::string part = encode(part_for(known, {2, newer}, own));
-  const double summary_ms = ms_each(settings.rounds, [&] { summarize(newer, 2); });
-  const double part_ms = ms_each(settings.rounds, [&] {
-    encode(part_for(known, {2, newer}, own));
+  const ConfigurationSummary old_summary = summarize(old_configuration, 1);
+  const ConfigurationSummary new_summary = summarize(new_configuration, 2);
+  const std::string call_message = encode(ConfigurationCall{old_summary, kMaxConfigurationMessage});
+  const std::string full_message = encode(ConfigurationMessage{2, new_configuration});
+  const std::string delta_message =
+      encode(part_for(old_summary, {2, new_configuration}, new_summary));
+  const double summary_ms = mean_ms(settings.rounds, [&] { summarize(new_configuration, 2); });
+  const double encode_delta_ms = mean_ms(settings.rounds, [&] {
+    encode(part_for(old_summary, {2, new_configuration}, new_summary));
   });
-  const double take_ms = ms_each(settings.rounds, [&] {
-    auto message = decode_configuration(part);
-    if (message) complete(std::move(*message), held);
+  const double apply_delta_ms = mean_ms(settings.rounds, [&] {
+    auto message = decode_configuration(delta_message);
+    if (message) complete(std::move(*message), old_configuration);
   });
-  const double whole_ms = ms_each(settings.rounds, [&] { decode_configuration(whole); });
-  output << "call " << call.size() << " B, part " << part.size() << " B, whole " << whole.size()
-         << " B; summary " << summary_ms << " ms, part " << part_ms << " ms to make and " << take_ms
-         << " ms to take, whole " << whole_ms << " ms to take\n";
+  const double decode_full_ms =
+      mean_ms(settings.rounds, [&] { decode_configuration(full_message); });
+  output << "call " << call_message.size() << " B, part " << delta_message.size() << " B, whole "
+         << full_message.size() << " B; summary " << summary_ms << " ms, part " << encode_delta_ms
+         << " ms to make and " << apply_delta_ms << " ms to take, whole " << decode_full_ms
+         << " ms to take\n";
   return ExitCode::kSuccess;
 }
 
--- a/src/bench/hollow_command.cpp
+++ b/src/bench/hollow_command.cpp
@@ -26,7 +26,7 @@
   std::uint64_t models = 5;
   std::uint64_t regions = 3;
   std::uint64_t zones = 12;
-  Duration measure_for = seconds(60);
+  Duration min_phase_duration = seconds(60);
   std::uint64_t seed = 1;
 };
 
@@ -39,7 +39,7 @@
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / kMegabyte;
 }
 
-std::string fixed(double value, int digits) {
+std::string format_fixed(double value, int digits) {
   std::ostringstream text;
   text << std::fixed << std::setprecision(digits) << value;
   return text.str();
@@ -51,7 +51,7 @@
   static constexpr Duration kWarmUp = std::chrono::minutes(2);
 
   explicit HollowRun(const HollowSettings& settings)
-      : settings_(settings), fleet_(shape(settings)) {}
+      : settings_(settings), fleet_(fleet_settings(settings)) {}
 
   void run(std::ostream& output) {
     const double memory_before = resident_megabytes();
@@ -61,58 +61,60 @@
     output << settings_.nodes << " nodes, " << settings_.engines << " engines, "
            << settings_.tenants << " tenants\n"
            << "memory: "
-           << fixed((memory - memory_before) / static_cast<double>(settings_.nodes), 2)
+           << format_fixed((memory - memory_before) / static_cast<double>(settings_.nodes), 2)
            << " MB a node beyond an empty one\n";
     print_row(output, {"STRETCH", "PROCESSOR %", "SENT B/s", "RECEIVED B/s", "MOST OF A NODE",
                        "MESSAGES/s", "SETTLED s"});
     measure(output, "at rest", [] { return 0.0; });
-    measure(output, "a change of configuration", [this] { return spread_change(); });
-    measure(output, "a node killed", [this] { return kill_some(1); });
+    measure(output, "a change of configuration", [this] { return change_configuration(); });
+    measure(output, "a node killed", [this] { return kill_nodes(1); });
     measure(output, "a zone killed", [this] { return kill_zone(); });
-    measure(output, "the zone restarted", [this] { return restart_dead(); });
+    measure(output, "the zone restarted", [this] { return restart_dead_nodes(); });
     if (settings_.regions > 1) {
-      measure(output, "a region cut off for 60 s", [this] { return cut_region(); });
+      measure(output, "a region cut off for 60 s", [this] { return partition_region(); });
     }
   }
 
  private:
-  static FleetSettings shape(const HollowSettings& settings) {
-    FleetSettings shape;
-    shape.nodes = static_cast<int>(settings.nodes);
-    shape.engines = static_cast<int>(settings.engines);
-    shape.tenants = static_cast<int>(settings.tenants);
-    shape.models = static_cast<int>(settings.models);
-    shape.regions = static_cast<int>(settings.regions);
-    shape.zones = static_cast<int>(settings.zones);
-    shape.split_roles = false;
-    shape.seed = settings.seed;
-    return shape;
+  static FleetSettings fleet_settings(const HollowSettings& settings) {
+    FleetSettings fleet_settings;
+    fleet_settings.nodes = static_cast<int>(settings.nodes);
+    fleet_settings.engines = static_cast<int>(settings.engines);
+    fleet_settings.tenants = static_cast<int>(settings.tenants);
+    fleet_settings.models = static_cast<int>(settings.models);
+    fleet_settings.regions = static_cast<int>(settings.regions);
+    fleet_settings.zones = static_cast<int>(settings.zones);
+    fleet_settings.split_roles = false;
+    fleet_settings.seed = settings.seed;
+    return fleet_settings;
   }
 
   void measure(std::ostream& output, const std::string& name,
                const std::function<double()>& action) {
     const std::vector<NodeCost> before = fleet_.costs();
-    const MonotonicTime began = fleet_.world.now();
-    const double settled = action();
-    const MonotonicTime least = began + settings_.measure_for;
-    if (fleet_.world.now() < least) fleet_.world.run_until(least);
-    const double elapsed = to_seconds(fleet_.world.now() - began);
+    const MonotonicTime start = fleet_.world.now();
+    const double settle_seconds = action();
+    const MonotonicTime min_end = start + settings_.min_phase_duration;
+    if (fleet_.world.now() < min_end) fleet_.world.run_until(min_end);
+    const double elapsed = to_seconds(fleet_.world.now() - start);
     const std::vector<NodeCost> after = fleet_.costs();
     NodeCost sum;
-    double most = 0;
+    double max_node_bytes = 0;
     double nodes = 0;
     for (std::size_t i = 0; i < after.size(); ++i) {
       if (after[i].boot != before[i].boot || !after[i].alive) continue;
       const NodeCost cost = after[i] - before[i];
       sum = sum + cost;
-      most = std::max(most, static_cast<double>(cost.sent + cost.received));
+      max_node_bytes = std::max(max_node_bytes, static_cast<double>(cost.sent + cost.received));
       nodes += 1;
     }
-    const double per = elapsed * nodes;
-    print_row(output, {name, fixed(100 * sum.processor_seconds / per, 3),
-                       fixed(static_cast<double>(sum.sent) / per, 0),
-                       fixed(static_cast<double>(sum.received) / per, 0), fixed(most / elapsed, 0),
-                       fixed(static_cast<double>(sum.messages) / per, 1), fixed(settled, 2)});
+    const double node_seconds = elapsed * nodes;
+    print_row(output, {name, format_fixed(100 * sum.processor_seconds / node_seconds, 3),
+                       format_fixed(static_cast<double>(sum.sent) / node_seconds, 0),
+                       format_fixed(static_cast<double>(sum.received) / node_seconds, 0),
+                       format_fixed(max_node_bytes / elapsed, 0),
+                       format_fixed(static_cast<double>(sum.messages) / node_seconds, 1),
+                       format_fixed(settle_seconds, 2)});
   }
 
   /// Prints at once: a large fleet takes minutes for each stretch.
@@ -125,28 +127,28 @@
   }
 
   /// How exactly a time to settle is measured.
-  static constexpr Duration kLookEvery = std::chrono::milliseconds(250);
+  static constexpr Duration kPollInterval = std::chrono::milliseconds(250);
 
   /// Runs until `condition` holds. @return the seconds that took.
   template <typename Condition>
-  double until(Condition condition) {
-    const MonotonicTime began = fleet_.world.now();
-    const MonotonicTime deadline = began + std::chrono::minutes(5);
+  double run_until(Condition condition) {
+    const MonotonicTime start = fleet_.world.now();
+    const MonotonicTime deadline = start + std::chrono::minutes(5);
     while (!condition() && fleet_.world.now() < deadline) {
-      fleet_.run_for(kLookEvery);
+      fleet_.run_for(kPollInterval);
     }
-    return to_seconds(fleet_.world.now() - began);
+    return to_seconds(fleet_.world.now() - start);
   }
 
-  double spread_change() {
+  double change_configuration() {
     const Revision before = fleet_.newest_revision();
     fleet_.edit(0, "changed");
-    return until([this, before] { return fleet_.oldest_revision() > before; });
+    return run_until([this, before] { return fleet_.oldest_revision() > before; });
   }
 
-  double kill_some(int count) {
+  double kill_nodes(int count) {
     for (int i = 0; i < count; ++i) fleet_.kill_node(static_cast<int>(settings_.nodes) - 1 - i);
-    return until([this] { return fleet_.members_agree(); });
+    return run_until([this] { return fleet_.members_agree(); });
   }
 
   double kill_zone() {
@@ -154,20 +156,20 @@
     for (int i = 1; i < static_cast<int>(settings_.nodes); i += zones) {
       if (fleet_.node_alive(i)) fleet_.kill_node(i);
     }
-    return until([this] { return fleet_.members_agree(); });
+    return run_until([this] { return fleet_.members_agree(); });
   }
 
-  double restart_dead() {
+  double restart_dead_nodes() {
     for (int i = 0; i < static_cast<int>(settings_.nodes); ++i) {
       if (!fleet_.node_alive(i)) fleet_.start_node(i);
     }
-    return until([this] {
+    return run_until([this] {
       return fleet_.members_agree() && fleet_.oldest_revision() == fleet_.newest_revision();
     });
   }
 
   /// Cuts the nodes of region 2 from the others, which keep the platform; then heals.
-  double cut_region() {
+  double partition_region() {
     const int zones = static_cast<int>(settings_.zones);
     const int regions = static_cast<int>(settings_.regions);
     const auto region_of = [zones, regions](int node) { return node % zones % regions; };
@@ -178,7 +180,7 @@
     }
     fleet_.run_for(seconds(60));
     fleet_.world.heal_all();
-    return until([this] { return fleet_.members_agree(); });
+    return run_until([this] { return fleet_.members_agree(); });
   }
 
   const HollowSettings& settings_;
@@ -191,15 +193,15 @@
                             std::ostream& errors) {
   HollowSettings settings;
   OptionSet options("shuntbank-bench hollow [options]");
-  constexpr std::uint64_t kMost = 100'000;
-  options.add_whole("nodes", settings.nodes, 3, kMost, "Nodes.");
-  options.add_whole("engines", settings.engines, 1, kMost, "Engines.");
-  options.add_whole("tenants", settings.tenants, 1, kMost, "Tenants.");
+  constexpr std::uint64_t kMaxCount = 100'000;
+  options.add_whole("nodes", settings.nodes, 3, kMaxCount, "Nodes.");
+  options.add_whole("engines", settings.engines, 1, kMaxCount, "Engines.");
+  options.add_whole("tenants", settings.tenants, 1, kMaxCount, "Tenants.");
   options.add_whole("models", settings.models, 1, 100, "Model services.");
   options.add_whole("regions", settings.regions, 1, 100, "Regions.");
   options.add_whole("zones", settings.zones, 1, 100, "Zones.");
-  options.add_duration("measure-for", settings.measure_for, seconds(10), std::chrono::hours(1),
-                       "Simulated time of each stretch, at least.");
+  options.add_duration("measure-for", settings.min_phase_duration, seconds(10),
+                       std::chrono::hours(1), "Simulated time of each stretch, at least.");
   options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Seed.");
   static_cast<void>(set_log_levels("off"));
   const OptionsOutcome outcome = options.read(arguments, output, errors);
--- a/src/bench/load_command.cpp
+++ b/src/bench/load_command.cpp
@@ -12,22 +12,22 @@
 namespace shuntbank {
 namespace {
 
-std::string milliseconds(double seconds) {
+std::string format_milliseconds(double seconds) {
   std::ostringstream text;
   text << std::fixed << std::setprecision(1) << seconds * 1000 << " ms";
   return text.str();
 }
 
-std::string rate(double value) {
+std::string format_rate(double value) {
   std::ostringstream text;
   text << std::fixed << std::setprecision(2) << value << "/s";
   return text.str();
 }
 
 /// @return role changes that the holders of leases confirmed, over all nodes that were asked.
-std::uint64_t count_role_changes(const std::vector<std::string>& operators) {
+std::uint64_t count_role_changes(const std::vector<std::string>& operator_addresses) {
   std::uint64_t changes = 0;
-  for (const std::string& address : operators) {
+  for (const std::string& address : operator_addresses) {
     OutgoingRequest request;
     request.url = "http://" + address + "/v1/status";
     request.total_timeout = std::chrono::seconds(5);
@@ -41,20 +41,22 @@
   return changes;
 }
 
-void print_card(std::ostream& output, const LoadReportCard& card, std::uint64_t role_changes) {
+void print_report(std::ostream& output, const LoadReport& report, std::uint64_t role_changes) {
   Table table({"MEASURE", "VALUE"});
-  table.add({"requests", std::to_string(card.sent)});
-  table.add({"whole answers", std::to_string(card.whole)});
-  table.add({"crossed answers", std::to_string(card.crossed)});
-  table.add({"cut answers", std::to_string(card.cut)});
-  for (const auto& [error, count] : card.errors)
+  table.add({"requests", std::to_string(report.sent)});
+  table.add({"whole answers", std::to_string(report.completed)});
+  table.add({"crossed answers", std::to_string(report.mismatched)});
+  table.add({"cut answers", std::to_string(report.truncated)});
+  for (const auto& [error, count] : report.errors)
     table.add({"error " + error, std::to_string(count)});
-  table.add({"goodput", rate(card.goodput())});
+  table.add({"goodput", format_rate(report.goodput())});
   for (const double q : {0.5, 0.95, 0.99}) {
     const std::string name = "p" + std::to_string(static_cast<int>(q * 100));
-    table.add({"first token " + name, milliseconds(percentile(card.first_token_seconds, q))});
+    table.add(
+        {"first token " + name, format_milliseconds(percentile(report.first_token_seconds, q))});
   }
-  table.add({"between tokens p95", milliseconds(percentile(card.between_tokens_seconds, 0.95))});
+  table.add(
+      {"between tokens p95", format_milliseconds(percentile(report.between_tokens_seconds, 0.95))});
   table.add({"role changes", std::to_string(role_changes)});
   table.print(output);
 }
@@ -64,11 +66,11 @@
 ExitCode run_load_command(const std::vector<std::string>& arguments, std::ostream& output,
                           std::ostream& errors) {
   LoadSettings settings;
-  std::vector<std::string> operators;
+  std::vector<std::string> operator_addresses;
   bool strict = false;
   OptionSet options("shuntbank-bench load [options]");
   options.add_texts("target", settings.targets, "IP:PORT of a callers' interface.");
-  options.add_texts("operators", operators,
+  options.add_texts("operators", operator_addresses,
                     "IP:PORT of an operators' interface, for role changes.");
   options.add_text("key", settings.key, "Tenant key.");
   options.require("key");
@@ -99,9 +101,10 @@
     return findings;
   });
   if (!outcome.run) return outcome.code;
-  const LoadReportCard card = run_load(settings);
-  print_card(output, card, count_role_changes(operators));
-  const bool failed = card.crossed > 0 || card.cut > 0 || (strict && card.whole != card.sent);
+  const LoadReport report = run_load(settings);
+  print_report(output, report, count_role_changes(operator_addresses));
+  const bool failed =
+      report.mismatched > 0 || report.truncated > 0 || (strict && report.completed != report.sent);
   return failed ? ExitCode::kFailure : ExitCode::kSuccess;
 }
 
--- a/src/bench/load_generator.cpp
+++ b/src/bench/load_generator.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kCharactersPerToken = 4;
 
 /// Share of a prompt that it has in common with others of its history.
-constexpr double kSharedShare = 0.75;
+constexpr double kSharedPrefixShare = 0.75;
 
 std::string repeat_text(const std::string& unit, std::size_t size) {
   std::string text;
@@ -41,7 +41,7 @@
   MonotonicTime last_token{};
   int status = 0;
   std::string text;
-  std::string raw;
+  std::string body;
   std::string error;
   bool done = false;
   EventStreamSplitter splitter;
@@ -52,29 +52,29 @@
   explicit LoadRun(const LoadSettings& settings)
       : settings_(settings), loop_(1), http_(loop_), timer_(loop_), random_(settings.seed) {}
 
-  LoadReportCard run() {
-    started_ = monotonic_now();
-    phase_began_ = started_;
-    next_arrival_ = started_;
+  LoadReport run() {
+    run_start_ = monotonic_now();
+    phase_start_ = run_start_;
+    next_arrival_ = run_start_;
     schedule();
     loop_.run();
-    card_.elapsed_seconds = to_seconds(monotonic_now() - started_);
-    return std::move(card_);
+    report_.elapsed_seconds = to_seconds(monotonic_now() - run_start_);
+    return std::move(report_);
   }
 
  private:
   void schedule() {
-    while (phase_ < settings_.phases.size() &&
-           next_arrival_ >= phase_began_ + settings_.phases[phase_].length) {
-      phase_began_ += settings_.phases[phase_].length;
-      ++phase_;
+    while (phase_index_ < settings_.phases.size() &&
+           next_arrival_ >= phase_start_ + settings_.phases[phase_index_].duration) {
+      phase_start_ += settings_.phases[phase_index_].duration;
+      ++phase_index_;
     }
-    if (phase_ == settings_.phases.size()) return stop_if_idle();
+    if (phase_index_ == settings_.phases.size()) return stop_if_idle();
     timer_.expires_at(next_arrival_);
     timer_.async_wait([this](const std::error_code& error) {
       if (error) return;
-      send(settings_.phases[phase_]);
-      std::exponential_distribution<double> gap(settings_.phases[phase_].requests_per_second);
+      send(settings_.phases[phase_index_]);
+      std::exponential_distribution<double> gap(settings_.phases[phase_index_].requests_per_second);
       next_arrival_ += from_seconds(gap(random_));
       schedule();
     });
@@ -82,15 +82,16 @@
 
   void stop_if_idle() {
     finished_sending_ = true;
-    if (open_ == 0) loop_.stop();
+    if (in_flight_ == 0) loop_.stop();
   }
 
   std::string make_prompt(const LoadPhase& phase) {
     const std::size_t size = phase.prompt_tokens * kCharactersPerToken;
-    const std::uint64_t history = random_() % std::max<std::uint64_t>(1, settings_.shared_prefixes);
-    const auto shared = static_cast<std::size_t>(kSharedShare * static_cast<double>(size));
+    const std::uint64_t history =
+        random_() % std::max<std::uint64_t>(1, settings_.shared_prefix_count);
+    const auto shared = static_cast<std::size_t>(kSharedPrefixShare * static_cast<double>(size));
     const std::string begin = repeat_text("history " + std::to_string(history) + " ", shared);
-    return begin + repeat_text("request " + std::to_string(++count_) + " ", size - shared);
+    return begin + repeat_text("request " + std::to_string(++sent_count_) + " ", size - shared);
   }
 
   void send(const LoadPhase& phase) {
@@ -98,24 +99,24 @@
     call->prompt = make_prompt(phase);
     call->output_tokens = phase.output_tokens;
     call->sent = monotonic_now();
-    ++card_.sent;
-    ++open_;
+    ++report_.sent;
+    ++in_flight_;
     TransferHandlers handlers;
     handlers.on_headers = [call](int status, const HttpHeaders&) { call->status = status; };
-    handlers.on_data = [this, call](std::string_view piece) {
-      on_data(*call, piece);
+    handlers.on_data = [this, call](std::string_view data) {
+      on_data(*call, data);
       return true;
     };
     handlers.on_done = [this, call](const auto& result) {
       if (!result) call->error = "transport: " + result.error().message;
-      finish(*call);
+      on_done(*call);
     };
-    http_.start(outgoing(*call), std::move(handlers));
+    http_.start(make_request(*call), std::move(handlers));
   }
 
-  OutgoingRequest outgoing(const Call& call) {
+  OutgoingRequest make_request(const Call& call) {
     OutgoingRequest request;
-    const std::string& target = settings_.targets[count_ % settings_.targets.size()];
+    const std::string& target = settings_.targets[sent_count_ % settings_.targets.size()];
     request.method = "POST";
     request.headers.add("Authorization", "Bearer " + settings_.key);
     request.headers.add("Content-Type", "application/json");
@@ -134,12 +135,12 @@
     return request;
   }
 
-  void on_data(Call& call, std::string_view piece) {
+  void on_data(Call& call, std::string_view data) {
     if (call.status != 200 || !settings_.stream || settings_.model.empty()) {
-      call.raw += piece;
+      call.body += data;
       return;
     }
-    call.splitter.feed(piece, [&call](const ServerSentEvent& event) {
+    call.splitter.feed(data, [&call](const ServerSentEvent& event) {
       if (event.data == kDoneMarker) {
         call.done = true;
         return;
@@ -155,13 +156,14 @@
     });
   }
 
-  void read_whole(Call& call) const {
-    const json reply = json::parse(call.raw, nullptr, false);
+  void parse_body(Call& call) const {
+    const json reply = json::parse(call.body, nullptr, false);
     if (call.status != 200) {
-      const bool known = reply.is_object() && reply.contains("error") && reply["error"].is_object();
+      const bool has_error =
+          reply.is_object() && reply.contains("error") && reply["error"].is_object();
       call.error =
-          known ? reply["error"].value("code", "") + "/" + reply["error"].value("outcome", "")
-                : "status " + std::to_string(call.status);
+          has_error ? reply["error"].value("code", "") + "/" + reply["error"].value("outcome", "")
+                    : "status " + std::to_string(call.status);
       return;
     }
     call.last_token = monotonic_now();
@@ -175,7 +177,7 @@
     }
   }
 
-  std::string expected(const Call& call) const {
+  std::string expected_answer(const Call& call) const {
     if (!settings_.model.empty()) return whole_answer(call.prompt, call.output_tokens);
     // The stand-in sees the path behind the service's name.
     const std::string prefix = "/services/";
@@ -183,35 +185,35 @@
     return sha256_hex("POST " + settings_.service_path.substr(slash) + "\n" + call.prompt);
   }
 
-  void finish(Call& call) {
-    --open_;
+  void on_done(Call& call) {
+    --in_flight_;
     const bool streamed = settings_.stream && !settings_.model.empty() && call.status == 200;
-    if (!streamed && call.error.empty()) read_whole(call);
-    const std::string right = expected(call);
-    if (call.done && call.error.empty() && call.text == right) {
-      count_whole(call);
-    } else if (right.compare(0, call.text.size(), call.text) != 0) {
-      ++card_.crossed;
+    if (!streamed && call.error.empty()) parse_body(call);
+    const std::string expected_text = expected_answer(call);
+    if (call.done && call.error.empty() && call.text == expected_text) {
+      count_completed(call);
+    } else if (expected_text.compare(0, call.text.size(), call.text) != 0) {
+      ++report_.mismatched;
     } else if (!call.error.empty()) {
-      ++card_.errors[call.error];
+      ++report_.errors[call.error];
     } else {
-      ++card_.cut;
+      ++report_.truncated;
     }
-    if (finished_sending_ && open_ == 0) loop_.stop();
+    if (finished_sending_ && in_flight_ == 0) loop_.stop();
   }
 
-  void count_whole(const Call& call) {
-    ++card_.whole;
+  void count_completed(const Call& call) {
+    ++report_.completed;
     const Duration first = *call.first_token - call.sent;
-    card_.first_token_seconds.push_back(to_seconds(first));
+    report_.first_token_seconds.push_back(to_seconds(first));
     Duration between{0};
     if (call.output_tokens > 1) {
       between = (call.last_token - *call.first_token) / (call.output_tokens - 1);
-      card_.between_tokens_seconds.push_back(to_seconds(between));
+      report_.between_tokens_seconds.push_back(to_seconds(between));
     }
     const bool good =
         first <= settings_.first_token_target && between <= settings_.between_tokens_target;
-    if (good) ++card_.within_targets;
+    if (good) ++report_.within_targets;
   }
 
   const LoadSettings& settings_;
@@ -219,19 +221,19 @@
   CurlHttpClient http_;
   MonotonicTimer timer_;
   std::mt19937_64 random_;
-  LoadReportCard card_;
-  MonotonicTime started_{};
-  MonotonicTime phase_began_{};
+  LoadReport report_;
+  MonotonicTime run_start_{};
+  MonotonicTime phase_start_{};
   MonotonicTime next_arrival_{};
-  std::size_t phase_ = 0;
-  std::uint64_t count_ = 0;
-  std::uint64_t open_ = 0;
+  std::size_t phase_index_ = 0;
+  std::uint64_t sent_count_ = 0;
+  std::uint64_t in_flight_ = 0;
   bool finished_sending_ = false;
 };
 
 }  // namespace
 
-double LoadReportCard::goodput() const {
+double LoadReport::goodput() const {
   return elapsed_seconds > 0 ? static_cast<double>(within_targets) / elapsed_seconds : 0;
 }
 
@@ -243,7 +245,7 @@
   return values[static_cast<std::size_t>(index)];
 }
 
-LoadReportCard run_load(const LoadSettings& settings) {
+LoadReport run_load(const LoadSettings& settings) {
   return LoadRun(settings).run();
 }
 
@@ -255,17 +257,17 @@
     parts.at(i) = text.substr(begin, end - begin);
     begin = std::min(end + 1, text.size());
   }
-  const auto length = parse_duration(parts[0]);
+  const auto duration = parse_duration(parts[0]);
   LoadPhase phase;
   const auto read = [](const std::string& part, auto& value) {
     const char* end = part.data() + part.size();
     const auto [rest, error] = std::from_chars(part.data(), end, value);
     return error == std::errc{} && rest == end && value > 0;
   };
-  const bool valid = length && read(parts[1], phase.requests_per_second) &&
+  const bool valid = duration && read(parts[1], phase.requests_per_second) &&
                      read(parts[2], phase.prompt_tokens) && read(parts[3], phase.output_tokens);
   if (!valid) return tl::make_unexpected("'" + text + "' is not LENGTH:RATE:PROMPT:OUTPUT");
-  phase.length = *length;
+  phase.duration = *duration;
   return phase;
 }
 
--- a/src/bench/load_generator.hpp
+++ b/src/bench/load_generator.hpp
@@ -20,7 +20,7 @@
 
 /// A stretch of time with one mix of requests.
 struct LoadPhase {
-  Duration length = std::chrono::seconds(10);
+  Duration duration = std::chrono::seconds(10);
   double requests_per_second = 10;
   std::uint64_t prompt_tokens = 200;
   std::uint32_t output_tokens = 20;
@@ -35,17 +35,17 @@
   std::vector<LoadPhase> phases;
   bool stream = true;
   std::uint64_t seed = 1;
-  std::uint64_t shared_prefixes = 8;  ///< Prompts begin with one of so many histories.
+  std::uint64_t shared_prefix_count = 8;  ///< Prompts begin with one of so many histories.
   Duration first_token_target = std::chrono::milliseconds(500);
   Duration between_tokens_target = std::chrono::milliseconds(80);
 };
 
 /// Counts and times of one run.
-struct LoadReportCard {
+struct LoadReport {
   std::uint64_t sent = 0;
-  std::uint64_t whole = 0;    ///< Exactly the answer to their own request.
-  std::uint64_t crossed = 0;  ///< Another text: never acceptable.
-  std::uint64_t cut = 0;      ///< A beginning of the right text, without a proper end.
+  std::uint64_t completed = 0;   ///< Exactly the answer to their own request.
+  std::uint64_t mismatched = 0;  ///< Another text: never acceptable.
+  std::uint64_t truncated = 0;   ///< A beginning of the right text, without a proper end.
   std::map<std::string, std::uint64_t> errors;  ///< By error code and outcome.
   std::uint64_t within_targets = 0;
   std::vector<double> first_token_seconds;
@@ -59,7 +59,7 @@
 double percentile(std::vector<double> values, double q);
 
 /// Runs the phases and waits for all answers.
-LoadReportCard run_load(const LoadSettings& settings);
+LoadReport run_load(const LoadSettings& settings);
 
 /// Reads `LENGTH:RATE:PROMPT:OUTPUT`, such as `10s:20:500:50`.
 tl::expected<LoadPhase, std::string> parse_phase(const std::string& text);
--- a/src/bench/overhead_command.cpp
+++ b/src/bench/overhead_command.cpp
@@ -19,7 +19,7 @@
 using nlohmann::json;
 
 /// Pause that lets a burst of openings or closings settle before memory is read.
-constexpr Duration kSettle = std::chrono::seconds(2);
+constexpr Duration kSettleTime = std::chrono::seconds(2);
 
 struct OverheadSettings {
   std::string engine;  ///< `IP:PORT` of an idle engine.
@@ -30,11 +30,11 @@
   std::string busy_model;  ///< Served by the engine that feeds the open streams.
   std::uint64_t streams = 1000;
   std::uint64_t rounds = 2000;
-  Duration relay_time = std::chrono::seconds(5);
+  Duration relay_duration = std::chrono::seconds(5);
 };
 
 /// Processor seconds that a process used so far, from the kernel's account.
-double processor_seconds(std::uint64_t pid) {
+double cpu_seconds(std::uint64_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
   std::getline(file, text);
@@ -66,18 +66,19 @@
   void measure(std::ostream& output) {
     const double memory_before = resident_bytes(settings_.node_pid);
     open_streams(settings_.streams);
-    wait_for([this] { return streams_begun_ >= settings_.streams; });
-    pause(kSettle);
+    wait_until([this] { return streams_started_ >= settings_.streams; });
+    pause(kSettleTime);
     const double memory_after = resident_bytes(settings_.node_pid);
-    const std::size_t open = streams_begun_;
+    const std::size_t open_count = streams_started_;
     compare_first_tokens();
     measure_relay();
-    print(output, open, (memory_after - memory_before) / static_cast<double>(settings_.streams));
+    print(output, open_count,
+          (memory_after - memory_before) / static_cast<double>(settings_.streams));
   }
 
  private:
-  OutgoingRequest completion(const std::string& address, const std::string& model,
-                             std::uint32_t tokens) const {
+  OutgoingRequest make_completion(const std::string& address, const std::string& model,
+                                  std::uint32_t tokens) const {
     OutgoingRequest request;
     request.method = "POST";
     request.url = "http://" + address + "/v1/completions";
@@ -89,30 +90,31 @@
   }
 
   void open_streams(std::uint64_t count) {
-    constexpr std::uint32_t kEndless = 32'000;
+    constexpr std::uint32_t kMaxOutputTokens = 32'000;
     for (std::uint64_t i = 0; i < count; ++i) {
       TransferHandlers handlers;
       handlers.on_headers = [this](int status, const HttpHeaders&) {
-        if (status == 200) ++streams_begun_;
+        if (status == 200) ++streams_started_;
       };
-      handlers.on_data = [this](std::string_view piece) {
-        count_chunks(piece);
+      handlers.on_data = [this](std::string_view data) {
+        count_chunks(data);
         return true;
       };
       handlers.on_done = [this](const auto&) { ++streams_ended_; };
-      http_.start(completion(settings_.node, settings_.busy_model, kEndless), std::move(handlers));
+      http_.start(make_completion(settings_.node, settings_.busy_model, kMaxOutputTokens),
+                  std::move(handlers));
     }
   }
 
-  void count_chunks(std::string_view piece) {
-    constexpr std::string_view kMark = "data: ";
-    for (std::size_t at = piece.find(kMark); at != std::string_view::npos;
-         at = piece.find(kMark, at + 1)) {
+  void count_chunks(std::string_view data) {
+    constexpr std::string_view kDataPrefix = "data: ";
+    for (std::size_t at = data.find(kDataPrefix); at != std::string_view::npos;
+         at = data.find(kDataPrefix, at + 1)) {
       ++chunks_;
     }
   }
 
-  double first_token_once(const std::string& address) {
+  double measure_first_token(const std::string& address) {
     const MonotonicTime sent = monotonic_now();
     double first = 0;
     bool done = false;
@@ -122,42 +124,42 @@
       return true;
     };
     handlers.on_done = [&](const auto&) { done = true; };
-    http_.start(completion(address, settings_.idle_model, 2), std::move(handlers));
+    http_.start(make_completion(address, settings_.idle_model, 2), std::move(handlers));
     while (!done) loop_.run_one();
     return first;
   }
 
   void compare_first_tokens() {
     for (std::uint64_t i = 0; i < settings_.rounds; ++i) {
-      direct_.push_back(first_token_once(settings_.engine));
-      through_.push_back(first_token_once(settings_.node));
+      direct_seconds_.push_back(measure_first_token(settings_.engine));
+      through_node_seconds_.push_back(measure_first_token(settings_.node));
     }
   }
 
   void measure_relay() {
-    const double processor_before = processor_seconds(settings_.node_pid);
+    const double cpu_before = cpu_seconds(settings_.node_pid);
     const std::uint64_t chunks_before = chunks_;
-    const MonotonicTime began = monotonic_now();
-    pause(settings_.relay_time);
-    relay_seconds_ = to_seconds(monotonic_now() - began);
+    const MonotonicTime start = monotonic_now();
+    pause(settings_.relay_duration);
+    relay_seconds_ = to_seconds(monotonic_now() - start);
     relay_chunks_ = static_cast<double>(chunks_ - chunks_before);
-    relay_processor_ = processor_seconds(settings_.node_pid) - processor_before;
+    relay_cpu_seconds_ = cpu_seconds(settings_.node_pid) - cpu_before;
   }
 
-  void pause(Duration length) {
-    bool over = false;
-    timer_.expires_after(length);
-    timer_.async_wait([&over](const std::error_code&) { over = true; });
-    while (!over) loop_.run_one();
+  void pause(Duration duration) {
+    bool expired = false;
+    timer_.expires_after(duration);
+    timer_.async_wait([&expired](const std::error_code&) { expired = true; });
+    while (!expired) loop_.run_one();
   }
 
   template <typename Condition>
-  void wait_for(Condition condition) {
+  void wait_until(Condition condition) {
     const MonotonicTime deadline = monotonic_now() + std::chrono::seconds(60);
     while (!condition() && monotonic_now() < deadline) pause(std::chrono::milliseconds(50));
   }
 
-  void print(std::ostream& output, std::size_t open, double bytes_per_stream) const {
+  void print(std::ostream& output, std::size_t open_count, double bytes_per_stream) const {
     const auto microseconds = [](double seconds) {
       std::ostringstream text;
       text << std::fixed << std::setprecision(0) << seconds * 1e6 << " us";
@@ -165,18 +167,18 @@
     };
     Table table({"MEASURE", "STRAIGHT", "THROUGH A NODE", "ADDED"});
     for (const double q : {0.5, 0.99}) {
-      const double direct = percentile(direct_, q);
-      const double through = percentile(through_, q);
+      const double direct = percentile(direct_seconds_, q);
+      const double through_node = percentile(through_node_seconds_, q);
       table.add({"first token p" + std::to_string(static_cast<int>(q * 100)), microseconds(direct),
-                 microseconds(through), microseconds(through - direct)});
+                 microseconds(through_node), microseconds(through_node - direct)});
     }
     table.print(output);
-    output << "\nopen streams: " << open << " (ended early: " << streams_ended_ << ")\n"
+    output << "\nopen streams: " << open_count << " (ended early: " << streams_ended_ << ")\n"
            << "memory a stream: " << std::llround(bytes_per_stream / 1024) << " KiB\n"
            << "relayed chunks: " << std::llround(relay_chunks_ / relay_seconds_)
-           << " a second; node used " << std::setprecision(2) << relay_processor_ / relay_seconds_
+           << " a second; node used " << std::setprecision(2) << relay_cpu_seconds_ / relay_seconds_
            << " cores\n"
-           << "relayed chunks a core second: " << std::llround(relay_chunks_ / relay_processor_)
+           << "relayed chunks a core second: " << std::llround(relay_chunks_ / relay_cpu_seconds_)
            << "\n";
   }
 
@@ -184,14 +186,14 @@
   asio::io_context loop_;
   CurlHttpClient http_;
   MonotonicTimer timer_;
-  std::size_t streams_begun_ = 0;
+  std::size_t streams_started_ = 0;
   std::size_t streams_ended_ = 0;
   std::uint64_t chunks_ = 0;
-  std::vector<double> direct_;
-  std::vector<double> through_;
+  std::vector<double> direct_seconds_;
+  std::vector<double> through_node_seconds_;
   double relay_seconds_ = 1;
   double relay_chunks_ = 0;
-  double relay_processor_ = 1;
+  double relay_cpu_seconds_ = 1;
 };
 
 }  // namespace
@@ -211,7 +213,7 @@
   }
   options.add_whole("streams", settings.streams, 0, 100'000, "Streams that stay open.");
   options.add_whole("rounds", settings.rounds, 10, 1'000'000, "Requests straight and through.");
-  options.add_duration("relay-time", settings.relay_time, std::chrono::seconds(1),
+  options.add_duration("relay-time", settings.relay_duration, std::chrono::seconds(1),
                        std::chrono::hours(1), "Time over which chunks are counted.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
--- a/src/bench/simulate_command.cpp
+++ b/src/bench/simulate_command.cpp
@@ -23,10 +23,10 @@
   const auto [rest, error] = std::from_chars(text.data(), end, range.first);
   range.last = range.first;
   if (error == std::errc{} && rest == end) return range;
-  const bool dots = error == std::errc{} && std::string_view(rest, 2) == "..";
-  if (dots) {
-    const auto [tail, last_error] = std::from_chars(rest + 2, end, range.last);
-    if (last_error == std::errc{} && tail == end && range.last >= range.first) return range;
+  const bool has_range = error == std::errc{} && std::string_view(rest, 2) == "..";
+  if (has_range) {
+    const auto [last_end, last_error] = std::from_chars(rest + 2, end, range.last);
+    if (last_error == std::errc{} && last_end == end && range.last >= range.first) return range;
   }
   return tl::make_unexpected("'" + text + "' is neither A nor A..B");
 }
@@ -36,17 +36,17 @@
  public:
   SeedRunner(const SeedRange& range, std::uint64_t threads)
       : next_(range.first), last_(range.last) {
-    for (std::uint64_t i = 0; i < threads; ++i) threads_.emplace_back([this] { work(); });
+    for (std::uint64_t i = 0; i < threads; ++i) threads_.emplace_back([this] { run_seeds(); });
     for (std::thread& thread : threads_) thread.join();
   }
 
-  std::map<std::uint64_t, simulation::ScheduleResult> broken;
-  std::uint64_t schedules = 0;
+  std::map<std::uint64_t, simulation::ScheduleResult> violations;
+  std::uint64_t schedule_count = 0;
   std::uint64_t requests = 0;
-  std::uint64_t whole = 0;
+  std::uint64_t completed = 0;
 
  private:
-  void work() {
+  void run_seeds() {
     while (true) {
       std::unique_lock lock(mutex_);
       if (next_ > last_) return;
@@ -54,10 +54,10 @@
       lock.unlock();
       simulation::ScheduleResult result = simulation::run_schedule(seed);
       lock.lock();
-      ++schedules;
+      ++schedule_count;
       requests += result.requests;
-      whole += result.whole;
-      if (!result.broken.empty()) broken.emplace(seed, std::move(result));
+      completed += result.whole;
+      if (!result.broken.empty()) violations.emplace(seed, std::move(result));
     }
   }
 
@@ -89,18 +89,19 @@
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
   const SeedRunner run(range, threads);
-  std::map<std::string, std::uint64_t> kinds;
-  for (const auto& [seed, result] : run.broken) {
+  std::map<std::string, std::uint64_t> violation_counts;
+  for (const auto& [seed, result] : run.violations) {
     output << "seed " << seed << ": " << result.broken << "\n";
-    ++kinds[result.broken.substr(0, result.broken.find(':'))];
+    ++violation_counts[result.broken.substr(0, result.broken.find(':'))];
   }
-  if (events && !run.broken.empty()) {
-    for (const std::string& event : run.broken.begin()->second.events) output << event << "\n";
+  if (events && !run.violations.empty()) {
+    for (const std::string& event : run.violations.begin()->second.events) output << event << "\n";
   }
-  output << run.schedules << " schedules, " << run.requests << " requests, " << run.whole
-         << " answered whole, " << run.broken.size() << " schedules broke a promise\n";
-  for (const auto& [kind, count] : kinds) output << "  " << count << " x " << kind << "\n";
-  return run.broken.empty() ? ExitCode::kSuccess : ExitCode::kFailure;
+  output << run.schedule_count << " schedules, " << run.requests << " requests, " << run.completed
+         << " answered whole, " << run.violations.size() << " schedules broke a promise\n";
+  for (const auto& [invariant, count] : violation_counts)
+    output << "  " << count << " x " << invariant << "\n";
+  return run.violations.empty() ? ExitCode::kSuccess : ExitCode::kFailure;
 }
 
 }  // namespace shuntbank
--- a/tests/process/failure_test.cpp
+++ b/tests/process/failure_test.cpp
@@ -15,113 +15,113 @@
 
 namespace {
 
-const HttpHeaders kOnce{{"X-Shuntbank-Repeatable", "false"}};
+const HttpHeaders kNotRepeatable{{"X-Shuntbank-Repeatable", "false"}};
 
-std::string id_of(const Reply& reply) {
+std::string request_id_of(const Reply& reply) {
   return std::string(reply.headers.get("X-Request-Id"));
 }
 
 /// Runs load in the background while `action` does something to the site.
-LoadReportCard load_during(const LoadSettings& settings, const std::function<void()>& action) {
-  LoadReportCard card;
-  std::thread loader([&] { card = run_load(settings); });
+LoadReport load_during(const LoadSettings& settings, const std::function<void()>& action) {
+  LoadReport report;
+  std::thread load_thread([&] { report = run_load(settings); });
   action();
-  loader.join();
-  return card;
+  load_thread.join();
+  return report;
 }
 
-std::uint64_t error_count(const LoadReportCard& card) {
+std::uint64_t error_count(const LoadReport& report) {
   std::uint64_t count = 0;
-  for (const auto& [error, number] : card.errors) count += number;
+  for (const auto& [error, number] : report.errors) count += number;
   return count;
 }
 
 }  // namespace
 
-Test(failure, a_request_marked_not_repeatable_runs_once_and_is_called_unknown) {
+Test(failure, non_repeatable_request_runs_once_and_has_unknown_outcome) {
   Site site;
   for (std::size_t i = 0; i < 3; ++i)
     site.set_faults(site.engine(i), {{"drop_after_accept", true}});
-  const Reply once = site.ask(0, Site::completion("settle", 5), kOnce);
+  const Reply once = site.send_request(0, Site::completion("settle", 5), kNotRepeatable);
   cr_assert_eq(once.status, 502, "%d %s", once.status, once.body.c_str());
   cr_assert_eq(once.json["error"]["outcome"], "unknown");
-  cr_assert_eq(site.count_runs(id_of(once)), 1);
+  cr_assert_eq(site.count_runs(request_id_of(once)), 1);
   // A repeatable one is tried elsewhere.
-  const Reply repeated = site.ask(0, Site::completion("lore", 5));
-  cr_assert_gt(site.count_runs(id_of(repeated)), 1);
+  const Reply repeated = site.send_request(0, Site::completion("lore", 5));
+  cr_assert_gt(site.count_runs(request_id_of(repeated)), 1);
 }
 
-Test(failure, not_run_is_said_only_when_nothing_ran) {
+Test(failure, not_run_is_reported_only_when_nothing_ran) {
   Site site;
   for (std::size_t i = 0; i < 3; ++i) site.set_faults(site.engine(i), {{"refuse_requests", true}});
-  const Reply refused = site.ask(0, Site::completion("x", 5), kOnce);
+  const Reply refused = site.send_request(0, Site::completion("x", 5), kNotRepeatable);
   cr_assert_eq(refused.json["error"]["outcome"], "not_run", "%s", refused.body.c_str());
-  cr_assert_eq(site.count_runs(id_of(refused)), 0);
+  cr_assert_eq(site.count_runs(request_id_of(refused)), 0);
   for (auto& engine : site.engines) engine->kill();
-  const Reply unreachable = site.ask(0, Site::completion("x", 5), kOnce);
+  const Reply unreachable = site.send_request(0, Site::completion("x", 5), kNotRepeatable);
   cr_assert_eq(unreachable.json["error"]["outcome"], "not_run", "%s", unreachable.body.c_str());
 }
 
-Test(failure, an_answer_marked_for_another_attempt_reaches_nobody) {
-  SiteShape shape;
-  shape.engines = 1;
-  Site site(shape);
+Test(failure, answer_of_another_attempt_is_not_forwarded) {
+  SiteOptions options;
+  options.engines = 1;
+  Site site(options);
   site.set_faults(site.engine(0), {{"wrong_attempt_id", true}});
-  const Reply reply = site.ask(0, Site::completion("x", 5, true));
+  const Reply reply = site.send_request(0, Site::completion("x", 5, true));
   cr_assert_neq(reply.status, 200, "%s", reply.body.c_str());
   cr_assert_eq(reply.body.find("\"text\""), std::string::npos);
 }
 
-Test(failure, a_killed_engine_costs_no_answer) {
+Test(failure, killing_an_engine_loses_no_answer) {
   Site site;
-  const LoadReportCard card = load_during(site.load(30, 4s, 40), [&] {
+  const LoadReport report = load_during(site.load_settings(30, 4s, 40), [&] {
     cr_assert(eventually([&] { return site.executions(1)["executions"].size() > 10; }));
     site.engines[1]->kill();
   });
-  cr_assert_eq(card.crossed, 0);
-  cr_assert_eq(card.cut, 0);
-  cr_assert_eq(card.whole, card.sent, "%lu of %lu", card.whole, card.sent);
+  cr_assert_eq(report.mismatched, 0);
+  cr_assert_eq(report.truncated, 0);
+  cr_assert_eq(report.completed, report.sent, "%lu of %lu", report.completed, report.sent);
 }
 
-Test(failure, a_killed_node_costs_only_what_was_in_flight_there) {
+Test(failure, killing_a_node_fails_only_its_in_flight_requests) {
   Site site;
-  LoadSettings others = site.load(30, 4s, 20);
+  LoadSettings others = site.load_settings(30, 4s, 20);
   others.targets.pop_back();
-  const LoadReportCard card = load_during(others, [&] { site.nodes[2]->kill(); });
-  cr_assert_eq(card.whole, card.sent);
+  const LoadReport report = load_during(others, [&] { site.nodes[2]->kill(); });
+  cr_assert_eq(report.completed, report.sent);
   cr_assert(eventually([&] { return site.all_see_members(2); }));
   cr_assert(eventually([&] { return site.lease_holder() >= 0; }));
   cr_assert(site.orders_are_consistent());
 }
 
-Test(failure, a_rolling_restart_of_all_nodes_cuts_nothing) {
+Test(failure, rolling_restart_interrupts_no_request) {
   Site site;
   for (std::size_t i = 0; i < 3; ++i) {
     // Callers stop using a node once it says that it is not ready; requests in flight go on.
-    LoadSettings settings = site.load(25, 3s, 150);
-    const LoadReportCard before = load_during(settings, [&] {
+    LoadSettings settings = site.load_settings(25, 3s, 150);
+    const LoadReport before = load_during(settings, [&] {
       cr_assert(eventually([&] { return site.executions(0)["executions"].size() > 3; }));
     });
-    cr_assert_eq(before.whole, before.sent);
+    cr_assert_eq(before.completed, before.sent);
     settings.targets.erase(settings.targets.begin() + static_cast<std::ptrdiff_t>(i));
-    LoadSettings last = site.load(40, 600ms, 300);
-    last.targets = {site.callers(i)};
-    LoadReportCard on_leaver;
-    std::thread leaver_load([&] { on_leaver = run_load(last); });
-    const LoadReportCard card = load_during(settings, [&] {
+    LoadSettings draining_settings = site.load_settings(40, 600ms, 300);
+    draining_settings.targets = {site.callers(i)};
+    LoadReport draining_report;
+    std::thread draining_load([&] { draining_report = run_load(draining_settings); });
+    const LoadReport report = load_during(settings, [&] {
       site.nodes[i]->send_signal(SIGTERM);
       cr_assert_eq(site.nodes[i]->wait(), 0);
       site.start_node(i);
     });
-    leaver_load.join();
-    cr_assert_eq(on_leaver.whole, on_leaver.sent, "at the leaver: %lu of %lu", on_leaver.whole,
-                 on_leaver.sent);
-    cr_assert_eq(card.whole, card.sent, "%lu of %lu", card.whole, card.sent);
+    draining_load.join();
+    cr_assert_eq(draining_report.completed, draining_report.sent, "at the leaver: %lu of %lu",
+                 draining_report.completed, draining_report.sent);
+    cr_assert_eq(report.completed, report.sent, "%lu of %lu", report.completed, report.sent);
     cr_assert(eventually([&] { return site.all_see_members(3); }));
   }
 }
 
-Test(failure, an_operator_makes_a_node_leave) {
+Test(failure, operator_drains_a_node) {
   Site site;
   cr_assert_eq(send("POST", "http://" + site.operators(1) + "/v1/drain").status, 200);
   cr_assert_eq(send("GET", "http://" + site.operators(1) + "/readyz").status, 503);
@@ -132,10 +132,10 @@
   cr_assert(eventually([&] { return site.all_see_members(2); }));
 }
 
-Test(failure, a_frozen_holder_gives_no_order_after_it_wakes) {
-  SiteShape shape;
-  shape.allowed_roles = {"mixed", "prefill", "decode"};
-  Site site(shape);
+Test(failure, suspended_lease_holder_sends_no_order_after_resuming) {
+  SiteOptions options;
+  options.allowed_roles = {"mixed", "prefill", "decode"};
+  Site site(options);
   cr_assert(eventually([&] { return site.lease_holder() >= 0; }));
   const auto holder = static_cast<std::size_t>(site.lease_holder());
   const auto fence_of = [&](std::size_t engine) {
@@ -150,15 +150,15 @@
   cr_assert(site.orders_are_consistent());
 }
 
-Test(failure, role_changes_under_load_cut_nothing_also_when_an_engine_crashes_in_one) {
-  SiteShape shape;
-  shape.engines = 4;
-  shape.allowed_roles = {"mixed", "prefill", "decode"};
-  Site site(shape);
+Test(failure, role_changes_under_load_interrupt_no_request_despite_an_engine_crash) {
+  SiteOptions options;
+  options.engines = 4;
+  options.allowed_roles = {"mixed", "prefill", "decode"};
+  Site site(options);
   site.set_faults(site.engine(1), {{"crash_in_next_change", true}});
-  const LoadReportCard card = load_during(site.load(30, 6s, 60), [] {});
-  cr_assert_eq(card.whole, card.sent, "%lu of %lu, %lu errors", card.whole, card.sent,
-               error_count(card));
+  const LoadReport report = load_during(site.load_settings(30, 6s, 60), [] {});
+  cr_assert_eq(report.completed, report.sent, "%lu of %lu, %lu errors", report.completed,
+               report.sent, error_count(report));
   int changes = 0;
   for (std::size_t i = 0; i < 4; ++i) {
     const json log = site.executions(i);
@@ -169,11 +169,11 @@
   cr_assert(site.orders_are_consistent());
 }
 
-Test(failure, serving_goes_on_while_the_store_is_down) {
+Test(failure, serving_continues_while_the_store_is_down) {
   Site site;
   site.set_faults(site.platform_address(), {{"down", true}});
   cr_assert(eventually([&] { return site.lease_holder() < 0; }));
-  cr_assert_eq(site.ask(1, Site::completion("x", 5)).status, 200);
+  cr_assert_eq(site.send_request(1, Site::completion("x", 5)).status, 200);
   const Reply change = site.set_weight(0, "new", 0, 2);
   cr_assert_eq(change.status, 503);
   cr_assert_eq(change.json["changed"], "no");
@@ -184,22 +184,23 @@
   cr_assert(site.orders_are_consistent());
 }
 
-Test(failure, a_machine_on_the_leaving_list_gets_no_new_work) {
+Test(failure, draining_machine_gets_no_new_requests) {
   Site site;
   send("PUT", "http://" + site.platform_address() + "/machines?name=e0",
        json{{"kind", "engine"}, {"address", site.engine(0)}, {"state", "leaving"}}.dump());
-  std::size_t last = SIZE_MAX;
-  int still = 0;
+  std::size_t last_count = SIZE_MAX;
+  int unchanged_polls = 0;
   cr_assert(eventually([&] {
-    for (int i = 0; i < 6; ++i) site.ask(static_cast<std::size_t>(i) % 3, Site::completion("x", 1));
-    const std::size_t now = site.executions(0)["executions"].size();
-    still = now == last ? still + 1 : 0;
-    last = now;
-    return still >= 5;
+    for (int i = 0; i < 6; ++i)
+      site.send_request(static_cast<std::size_t>(i) % 3, Site::completion("x", 1));
+    const std::size_t execution_count = site.executions(0)["executions"].size();
+    unchanged_polls = execution_count == last_count ? unchanged_polls + 1 : 0;
+    last_count = execution_count;
+    return unchanged_polls >= 5;
   }));
 }
 
-Test(failure, an_accepted_change_survives_its_node_and_a_lost_answer) {
+Test(failure, accepted_change_survives_a_node_crash_and_a_lost_store_answer) {
   Site site;
   site.set_faults(site.platform_address(), {{"lose_write_answers", 1}});
   const Reply lost = site.set_weight(0, "lost", 0, 2);
@@ -213,7 +214,7 @@
   }
 }
 
-Test(failure, racing_operators_lose_no_accepted_change_and_see_conflicts) {
+Test(failure, concurrent_operators_lose_no_accepted_change_and_get_conflicts) {
   Site site;
   std::vector<std::thread> operators;
   std::atomic<int> accepted{0};
@@ -228,7 +229,7 @@
       if (same.status == 200) ++accepted;
     });
   }
-  for (std::thread& one : operators) one.join();
+  for (std::thread& operator_thread : operators) operator_thread.join();
   cr_assert_eq(accepted, 11);
   cr_assert_eq(conflicts, 9);
   const json document =
@@ -239,29 +240,30 @@
   cr_assert_eq(tenants, 13);
 }
 
-Test(failure, one_idempotency_key_runs_once_whichever_node_is_asked_and_whoever_dies) {
+Test(failure, idempotency_key_runs_once_across_nodes_and_node_crashes) {
   Site site;
   const HttpHeaders key{{"Idempotency-Key", "trade-17"}};
   cr_assert(eventually([&] { return site.claims_are_ready(); }));
-  const Reply first = site.ask(0, Site::completion("settle", 5), key);
+  const Reply first = site.send_request(0, Site::completion("settle", 5), key);
   cr_assert_eq(first.status, 200, "%s", first.body.c_str());
-  const Reply second = site.ask(1, Site::completion("settle", 5), key);
+  const Reply second = site.send_request(1, Site::completion("settle", 5), key);
   cr_assert_eq(second.status, 409, "%s", second.body.c_str());
   cr_assert_eq(second.json["error"]["outcome"], "unknown");
   // Another tenant's key of the same text is another key.
-  const Reply other = site.ask(1, Site::completion("settle", 5),
-                               {{"Idempotency-Key", "trade-17"},
-                                {"Authorization", std::string("Bearer ") + kOtherTenantKey}});
+  const Reply other =
+      site.send_request(1, Site::completion("settle", 5),
+                        {{"Idempotency-Key", "trade-17"},
+                         {"Authorization", std::string("Bearer ") + kOtherTenantKey}});
   cr_assert_eq(other.status, 200, "%s", other.body.c_str());
   site.nodes[0]->kill();
-  const Reply after_kill = site.ask(2, Site::completion("settle", 5), key);
+  const Reply after_kill = site.send_request(2, Site::completion("settle", 5), key);
   cr_assert_eq(after_kill.status, 409, "%d %s", after_kill.status, after_kill.body.c_str());
   site.start_node(0);
   // The restarted node has forgotten everything; the others teach it before it may grant again.
   cr_assert(eventually([&] { return site.claims_are_ready(); }));
   site.nodes[1]->kill();
   for (int i = 0; i < 20; ++i) {
-    const Reply again = site.ask(0, Site::completion("settle", 5), key);
+    const Reply again = site.send_request(0, Site::completion("settle", 5), key);
     cr_assert_eq(again.status, 409, "%s", again.body.c_str());
   }
 }
--- a/tests/process/support/process.cpp
+++ b/tests/process/support/process.cpp
@@ -63,10 +63,11 @@
 }
 
 std::string Process::address(const std::string& interface) {
-  const std::string mark = "event=listening interface=" + interface + " address=";
-  cr_assert(eventually([&] { return printed(mark); }), "no address; output: %s", output().c_str());
+  const std::string prefix = "event=listening interface=" + interface + " address=";
+  cr_assert(eventually([&] { return printed(prefix); }), "no address; output: %s",
+            output().c_str());
   const std::string text = output();
-  const std::size_t begin = text.find(mark) + mark.size();
+  const std::size_t begin = text.find(prefix) + prefix.size();
   return text.substr(begin, text.find('\n', begin) - begin);
 }
 
--- a/tests/process/support/site.cpp
+++ b/tests/process/support/site.cpp
@@ -31,24 +31,24 @@
   return {reply->status, reply->headers, reply->body, json::parse(reply->body, nullptr, false)};
 }
 
-Site::Site(SiteShape wanted) : shape(std::move(wanted)) {
+Site::Site(SiteOptions site_options) : options(std::move(site_options)) {
   platform = std::make_unique<Process>(
       "shuntbank-standin", std::vector<std::string>{"platform", "--machine-list-lag", "500ms"});
-  for (int i = 0; i < shape.engines + shape.plain_engines; ++i) {
+  for (int i = 0; i < options.engines + options.plain_engines; ++i) {
     std::vector<std::string> arguments{"engine", "--time-scale", "10"};
-    if (i >= shape.engines) append(arguments, {"--plain"});
-    if (i < shape.engines) append(arguments, {"--model", std::string(kModel) + "@1"});
-    append(arguments, shape.engine_options);
+    if (i >= options.engines) append(arguments, {"--plain"});
+    if (i < options.engines) append(arguments, {"--model", std::string(kModel) + "@1"});
+    append(arguments, options.engine_options);
     engines.push_back(std::make_unique<Process>("shuntbank-standin", arguments));
   }
   platform_address();
-  nodes.resize(static_cast<std::size_t>(shape.nodes));
+  nodes.resize(static_cast<std::size_t>(options.nodes));
   for (std::size_t i = 0; i < nodes.size(); ++i) start_node(i);
   apply_configuration();
   cr_assert(eventually([this] { return all_see_members(nodes.size()); }), "members");
   cr_assert(eventually([this] {
-              const json engines_seen = status(nodes.size() - 1)["engines"];
-              return engines_seen.size() == static_cast<std::size_t>(shape.engines);
+              const json known_engines = status(nodes.size() - 1)["engines"];
+              return known_engines.size() == static_cast<std::size_t>(options.engines);
             }),
             "controller");
 }
@@ -67,7 +67,7 @@
                                      "--seed",         std::to_string(index + 1),
                                      "--lease-length", "2s",
                                      "--leave-grace",  "700ms"};
-  append(arguments, shape.node_options);
+  append(arguments, options.node_options);
   nodes.at(index) = std::make_unique<Process>("shuntbankd", arguments);
   register_machine("n" + std::to_string(index), "node", nodes[index]->address("cluster"));
   const std::string ready = "http://" + operators(index) + "/readyz";
@@ -76,8 +76,8 @@
 
 void Site::apply_configuration() {
   std::vector<ObjectEdit> edits;
-  for (int i = 0; i < shape.engines + shape.plain_engines; ++i) {
-    const std::string service = i < shape.engines ? "model" : "plain";
+  for (int i = 0; i < options.engines + options.plain_engines; ++i) {
+    const std::string service = i < options.engines ? "model" : "plain";
     edits.push_back(set_object(ObjectKind::kEngine, "e" + std::to_string(i), 0,
                                json{{"address", engine(static_cast<std::size_t>(i))},
                                     {"zone", "z" + std::to_string(i % 3)},
@@ -90,7 +90,7 @@
                              json{{"kind", "model"},
                                   {"engine_selector", selector("model")},
                                   {"models", json::array({{{"name", kModel}, {"version", "1"}}})},
-                                  {"allowed_roles", shape.allowed_roles}}));
+                                  {"allowed_roles", options.allowed_roles}}));
   edits.push_back(set_object(ObjectKind::kService, "plain", 0,
                              json{{"kind", "plain"}, {"engine_selector", selector("plain")}}));
   edits.push_back(set_object(ObjectKind::kTenant, "t", 0,
@@ -120,7 +120,7 @@
   return {{"model", kModel}, {"prompt", prompt}, {"max_tokens", tokens}, {"stream", stream}};
 }
 
-Reply Site::ask(std::size_t node, const json& body, HttpHeaders headers) {
+Reply Site::send_request(std::size_t node, const json& body, HttpHeaders headers) {
   if (headers.get("Authorization").empty()) {
     headers.add("Authorization", std::string("Bearer ") + kTenantKey);
   }
@@ -181,30 +181,30 @@
 bool Site::all_see_members(std::size_t count) {
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     if (!nodes[i] || !nodes[i]->running()) continue;
-    std::size_t usable = 0;
+    std::size_t alive_count = 0;
     const json members = status(i)["members"];
     for (const json& member : members) {
-      usable += member["state"] == "alive" ? 1 : 0;
+      alive_count += member["state"] == "alive" ? 1 : 0;
     }
-    if (usable != count) return false;
+    if (alive_count != count) return false;
   }
   return true;
 }
 
 bool Site::claims_are_ready() {
-  json group;
+  json newest_claims;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
-    const json seen = status(i)["claims"];
-    if (group.is_null() || seen["view"] > group["view"]) group = seen;
+    const json claims = status(i)["claims"];
+    if (newest_claims.is_null() || claims["view"] > newest_claims["view"]) newest_claims = claims;
   }
-  if (group["members"].size() != 3 || group["stable"] != true) return false;
+  if (newest_claims["members"].size() != 3 || newest_claims["stable"] != true) return false;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
-    if (status(i)["claims"]["active_view_here"] != group["view"]) return false;
+    if (status(i)["claims"]["active_view_here"] != newest_claims["view"]) return false;
   }
   return true;
 }
 
-LoadSettings Site::load(double rate, Duration length, std::uint32_t output_tokens) {
+LoadSettings Site::load_settings(double rate, Duration length, std::uint32_t output_tokens) {
   LoadSettings settings;
   for (std::size_t i = 0; i < nodes.size(); ++i) settings.targets.push_back(callers(i));
   settings.key = kTenantKey;
--- a/tests/process/support/site.hpp
+++ b/tests/process/support/site.hpp
@@ -27,7 +27,7 @@
            const HttpHeaders& headers = {});
 
 /// Shape of a site.
-struct SiteShape {
+struct SiteOptions {
   int nodes = 3;
   int engines = 3;
   int plain_engines = 1;
@@ -39,7 +39,7 @@
 /// A platform, engines and nodes that know each other, with a configuration in force.
 class Site {
  public:
-  explicit Site(SiteShape shape = {});
+  explicit Site(SiteOptions options = {});
 
   std::string callers(std::size_t node) { return nodes.at(node)->address("callers"); }
   std::string operators(std::size_t node) { return nodes.at(node)->address("operators"); }
@@ -47,7 +47,7 @@
   std::string platform_address() { return platform->address("api"); }
 
   /// Asks a model through a node.
-  Reply ask(std::size_t node, const nlohmann::json& body, HttpHeaders headers = {});
+  Reply send_request(std::size_t node, const nlohmann::json& body, HttpHeaders headers = {});
 
   /// @return a completion body for the stand-in engines.
   static nlohmann::json completion(const std::string& prompt, int tokens, bool stream = false);
@@ -77,7 +77,7 @@
   bool all_see_members(std::size_t count);
 
   /// Load with whole answers on all nodes.
-  LoadSettings load(double rate, Duration length, std::uint32_t output_tokens);
+  LoadSettings load_settings(double rate, Duration length, std::uint32_t output_tokens);
 
   /// Sends edits to a node's operators' interface.
   Reply change(std::size_t node, const std::vector<ObjectEdit>& edits);
@@ -85,7 +85,7 @@
   /// Sets a tenant's weight; the usual small edit.
   Reply set_weight(std::size_t node, const std::string& tenant, Revision base, double weight);
 
-  SiteShape shape;
+  SiteOptions options;
   std::unique_ptr<Process> platform;
   std::vector<std::unique_ptr<Process>> engines;
   std::vector<std::unique_ptr<Process>> nodes;
--- a/tests/process/whole_path_test.cpp
+++ b/tests/process/whole_path_test.cpp
@@ -24,18 +24,18 @@
   return socket;
 }
 
-std::string raw_request(const std::string& body, std::size_t promised) {
+std::string raw_request(const std::string& body, std::size_t content_length) {
   return "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " +
-         std::string(kTenantKey) + "\r\nContent-Length: " + std::to_string(promised) + "\r\n\r\n" +
-         body;
+         std::string(kTenantKey) + "\r\nContent-Length: " + std::to_string(content_length) +
+         "\r\n\r\n" + body;
 }
 
 /// Sends a completion with header lines of the test's choice. @return the status line.
-std::string status_line_of(Site& site, const std::string& lines) {
+std::string status_line_of(Site& site, const std::string& header_lines) {
   const std::string body = Site::completion("y", 2).dump();
   asio::io_context loop;
   auto socket = send_raw(loop, site.callers(0),
-                         "POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + lines +
+                         "POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + header_lines +
                              "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   std::string reply;
   asio::read_until(socket, asio::dynamic_buffer(reply), "\r\n");
@@ -61,12 +61,12 @@
 
 Test(whole_path, answers_requests_of_each_kind) {
   Site site;
-  const Reply whole = site.ask(0, Site::completion("hello", 12));
-  cr_assert_eq(whole.status, 200, "%s", whole.body.c_str());
-  cr_assert_eq(whole.json["choices"][0]["text"], whole_answer("hello", 12));
-  cr_assert_eq(site.count_runs(std::string(whole.headers.get("X-Request-Id"))), 1);
+  const Reply buffered = site.send_request(0, Site::completion("hello", 12));
+  cr_assert_eq(buffered.status, 200, "%s", buffered.body.c_str());
+  cr_assert_eq(buffered.json["choices"][0]["text"], whole_answer("hello", 12));
+  cr_assert_eq(site.count_runs(std::string(buffered.headers.get("X-Request-Id"))), 1);
 
-  const Reply stream = site.ask(1, Site::completion("hello", 3, true));
+  const Reply stream = site.send_request(1, Site::completion("hello", 3, true));
   cr_assert_eq(stream.headers.get("Content-Type"), "text/event-stream");
   cr_assert_neq(stream.body.find("data: [DONE]\n\n"), std::string::npos);
 
@@ -80,11 +80,11 @@
   cr_assert_eq(models.json["data"][0]["id"], kModel);
 }
 
-Test(whole_path, refuses_bad_input_and_serves_on) {
-  SiteShape shape;
-  shape.nodes = 1;
-  shape.node_options = {"--max-body", "64KiB"};
-  Site site(shape);
+Test(whole_path, rejects_invalid_input_and_keeps_serving) {
+  SiteOptions options;
+  options.nodes = 1;
+  options.node_options = {"--max-body", "64KiB"};
+  Site site(options);
   const std::string url = "http://" + site.callers(0) + "/v1/completions";
   const HttpHeaders key{{"Authorization", std::string("Bearer ") + kTenantKey}};
   expect_not_run(send("POST", url, "{}"), 401, "invalid_api_key");
@@ -98,9 +98,10 @@
   expect_not_run(send("POST", url, std::string(100'000, ' '), key), 413, "request_too_large");
   json unknown = Site::completion("x", 1);
   unknown["model"] = "nobody";
-  expect_not_run(site.ask(0, unknown), 404, "model_not_found");
-  expect_not_run(site.ask(0, Site::completion("x", 1), {{"X-Shuntbank-Repeatable", "maybe"}}), 400,
-                 "invalid_request");
+  expect_not_run(site.send_request(0, unknown), 404, "model_not_found");
+  expect_not_run(
+      site.send_request(0, Site::completion("x", 1), {{"X-Shuntbank-Repeatable", "maybe"}}), 400,
+      "invalid_request");
   expect_not_run(send("GET", "http://" + site.callers(0) + "/nowhere", "", key), 404,
                  "unknown_path");
   cr_assert_eq(count_executions(site), 0);
@@ -111,11 +112,11 @@
   truncated.close();
   const std::string body = Site::completion("y", 2).dump();
   auto pipelined = send_raw(loop, site.callers(0), raw_request(body, body.size()) + "\x01garbage");
-  cr_assert_eq(site.ask(0, Site::completion("x", 1)).status, 200);
+  cr_assert_eq(site.send_request(0, Site::completion("x", 1)).status, 200);
   cr_assert(site.nodes[0]->running());
 }
 
-Test(whole_path, refuses_fields_that_can_be_read_in_two_ways) {
+Test(whole_path, rejects_ambiguous_header_fields) {
   Site site;
   const std::string key = std::string("Authorization: Bearer ") + kTenantKey + "\r\n";
   const std::string bad = "HTTP/1.1 400 Bad Request";
@@ -123,19 +124,20 @@
   cr_assert_eq(status_line_of(site, "Authorization: Bearer other\r\n" + key), bad);
   cr_assert_eq(status_line_of(site, key + "Idempotency-Key:\r\n"), bad);
   cr_assert_eq(status_line_of(site, key + "Idempotency-Key: a\r\nIdempotency-Key: b\r\n"), bad);
-  const std::string longest(255, 'k');
-  cr_assert_eq(status_line_of(site, key + "Idempotency-Key: " + longest + "k\r\n"), bad);
+  const std::string longest_key(255, 'k');
+  cr_assert_eq(status_line_of(site, key + "Idempotency-Key: " + longest_key + "k\r\n"), bad);
   cr_assert_eq(count_executions(site), 0);
-  const std::string taken = status_line_of(site, key + "Idempotency-Key: " + longest + "\r\n");
+  const std::string status_line =
+      status_line_of(site, key + "Idempotency-Key: " + longest_key + "\r\n");
   // Replicas that have just started grant no claim yet; what counts here is that the key is valid.
-  cr_assert_neq(taken, bad);
+  cr_assert_neq(status_line, bad);
 }
 
-Test(whole_path, a_caller_that_goes_away_cancels_at_the_engine) {
-  SiteShape shape;
-  shape.nodes = 1;
-  shape.engines = 1;
-  Site site(shape);
+Test(whole_path, caller_disconnect_cancels_the_engine_request) {
+  SiteOptions options;
+  options.nodes = 1;
+  options.engines = 1;
+  Site site(options);
   for (const bool stream : {true, false}) {
     const std::string body = Site::completion("long", 20'000, stream).dump();
     asio::io_context loop;
@@ -150,12 +152,12 @@
   }
 }
 
-Test(whole_path, a_slow_reader_slows_its_engine_and_costs_bounded_memory) {
-  SiteShape shape;
-  shape.nodes = 1;
-  shape.engines = 1;
-  shape.engine_options = {"--time-scale", "1000"};
-  Site site(shape);
+Test(whole_path, slow_caller_applies_backpressure_to_the_engine) {
+  SiteOptions options;
+  options.nodes = 1;
+  options.engines = 1;
+  options.engine_options = {"--time-scale", "1000"};
+  Site site(options);
   const std::string body = Site::completion("long", 32'000, true).dump();
   asio::io_context loop;
   auto socket = send_raw(loop, site.callers(0), raw_request(body, body.size()));
@@ -175,21 +177,21 @@
   cr_assert_eq(chunks, 32'000);
 }
 
-Test(whole_path, a_bounded_tenant_is_refused_with_a_time_to_come_back) {
-  SiteShape shape;
-  shape.nodes = 1;
-  Site site(shape);
+Test(whole_path, tenant_over_its_limit_gets_retry_after) {
+  SiteOptions options;
+  options.nodes = 1;
+  Site site(options);
   site.change(
       0, {set_object(ObjectKind::kPolicy, "p", 0, json{{"limits", {{"requests_per_minute", 6}}}})});
   cr_assert(eventually([&] {
-    const Reply reply = site.ask(0, Site::completion("x", 1));
+    const Reply reply = site.send_request(0, Site::completion("x", 1));
     if (reply.status == 200) return false;
     expect_not_run(reply, 429, "tenant_limit_reached");
     return !reply.headers.get("Retry-After").empty();
   }));
   // The other tenant is not touched by it.
-  cr_assert_eq(site.ask(0, Site::completion("x", 1),
-                        {{"Authorization", std::string("Bearer ") + kOtherTenantKey}})
+  cr_assert_eq(site.send_request(0, Site::completion("x", 1),
+                                 {{"Authorization", std::string("Bearer ") + kOtherTenantKey}})
                    .status,
                200);
 }
