--- a/src/bench/commands.cpp
+++ b/src/bench/commands.cpp
@@ -25,14 +25,15 @@
 const std::map<std::string, Command>& commands() {
   static const std::map<std::string, Command> table{
       {"configuration",
-       {"What it costs nodes to hand a configuration on, in bytes and time.",
+       {"Cost of transferring a configuration between nodes, in bytes and time.",
         run_configuration_command}},
-      {"load", {"Open-loop load on a running site, with every answer checked.", run_load_command}},
+      {"load", {"Open-loop load on a running site; verifies every answer.", run_load_command}},
       {"overhead",
-       {"What a node adds to a request, against the engine alone.", run_overhead_command}},
-      {"hollow", {"Many nodes in one process: what control costs at a size.", run_hollow_command}},
-      {"keys", {"What tenants' keys cost a node, in time and memory.", run_keys_command}},
-      {"simulate", {"Seeded schedules of faults with the promises checked.", run_simulate_command}},
+       {"Overhead of a node compared with direct requests to the engine.", run_overhead_command}},
+      {"hollow",
+       {"Control-plane cost of many simulated nodes in one process.", run_hollow_command}},
+      {"keys", {"Lookup time and memory of tenant keys on a node.", run_keys_command}},
+      {"simulate", {"Seeded fault schedules with invariants checked.", run_simulate_command}},
   };
   return table;
 }
--- a/src/bench/configuration_command.cpp
+++ b/src/bench/configuration_command.cpp
@@ -31,7 +31,7 @@
   return configuration;
 }
 
-/// @return milliseconds that one of so many calls takes on average.
+/// @return mean time of one call in milliseconds.
 double mean_ms(std::uint64_t rounds, const std::function<void()>& operation) {
   const MonotonicTime start = monotonic_now();
   for (std::uint64_t i = 0; i < rounds; ++i) operation();
@@ -46,8 +46,8 @@
   OptionSet options("shuntbank-bench configuration [options]");
   options.add_whole("routes", settings.routes, 1, 1000000, "Routes in the configuration.");
   options.add_whole("changed", settings.changed_routes, 0, 1000000,
-                    "Routes that the newer one changes.");
-  options.add_whole("rounds", settings.rounds, 1, 100000, "Times that each step is done.");
+                    "Routes that the new configuration changes.");
+  options.add_whole("rounds", settings.rounds, 1, 100000, "Repetitions of each step.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
   const relay::RouteConfiguration old_configuration = make_configuration(settings.routes);
@@ -71,10 +71,10 @@
   });
   const double decode_full_ms =
       mean_ms(settings.rounds, [&] { decode_configuration(full_message); });
-  output << "call " << call_message.size() << " B, part " << delta_message.size() << " B, whole "
-         << full_message.size() << " B; summary " << summary_ms << " ms, part " << encode_delta_ms
-         << " ms to make and " << apply_delta_ms << " ms to take, whole " << decode_full_ms
-         << " ms to take\n";
+  output << "call " << call_message.size() << " B, delta " << delta_message.size() << " B, full "
+         << full_message.size() << " B; summary " << summary_ms << " ms, delta " << encode_delta_ms
+         << " ms to encode and " << apply_delta_ms << " ms to apply, full " << decode_full_ms
+         << " ms to decode\n";
   return ExitCode::kSuccess;
 }
 
--- a/src/bench/configuration_command.hpp
+++ b/src/bench/configuration_command.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// `shuntbank-bench configuration`: what it costs nodes to hand a configuration on, at a size.
+/// `shuntbank-bench configuration`: measures the cost of transferring a
+/// configuration between nodes.
 #pragma once
 
 #include <iosfwd>
--- a/src/bench/hollow_command.cpp
+++ b/src/bench/hollow_command.cpp
@@ -47,7 +47,7 @@
 
 class HollowRun {
  public:
-  /// Facts of all engines reach all nodes in this time after a start of everything at once.
+  /// Time within which all nodes know all engines after a simultaneous start.
   static constexpr Duration kWarmUp = std::chrono::minutes(2);
 
   explicit HollowRun(const HollowSettings& settings)
@@ -62,9 +62,9 @@
            << settings_.tenants << " tenants\n"
            << "memory: "
            << format_fixed((memory - memory_before) / static_cast<double>(settings_.nodes), 2)
-           << " MB a node beyond an empty one\n";
-    print_row(output, {"STRETCH", "PROCESSOR %", "SENT B/s", "RECEIVED B/s", "MOST OF A NODE",
-                       "MESSAGES/s", "SETTLED s"});
+           << " MB per node above an empty node\n";
+    print_row(output, {"PHASE", "CPU %", "SENT B/s", "RECEIVED B/s", "MAX NODE B/s", "MESSAGES/s",
+                       "SETTLED s"});
     measure(output, "at rest", [] { return 0.0; });
     measure(output, "a change of configuration", [this] { return change_configuration(); });
     measure(output, "a node killed", [this] { return kill_nodes(1); });
@@ -117,7 +117,7 @@
                        format_fixed(settle_seconds, 2)});
   }
 
-  /// Prints at once: a large fleet takes minutes for each stretch.
+  /// Flushes each row, as a phase of a large fleet takes minutes.
   static void print_row(std::ostream& output, const std::vector<std::string>& cells) {
     constexpr int kFirstWidth = 28;
     constexpr int kWidth = 16;
@@ -126,10 +126,10 @@
     output << std::endl;
   }
 
-  /// How exactly a time to settle is measured.
+  /// Resolution of the settle times.
   static constexpr Duration kPollInterval = std::chrono::milliseconds(250);
 
-  /// Runs until `condition` holds. @return the seconds that took.
+  /// Runs until `condition` holds, at most 5 simulated minutes. @return the elapsed seconds.
   template <typename Condition>
   double run_until(Condition condition) {
     const MonotonicTime start = fleet_.world.now();
@@ -168,7 +168,7 @@
     });
   }
 
-  /// Cuts the nodes of region 2 from the others, which keep the platform; then heals.
+  /// Partitions the nodes of region 2 from the other nodes for 60 s, then heals the network.
   double partition_region() {
     const int zones = static_cast<int>(settings_.zones);
     const int regions = static_cast<int>(settings_.regions);
@@ -201,7 +201,7 @@
   options.add_whole("regions", settings.regions, 1, 100, "Regions.");
   options.add_whole("zones", settings.zones, 1, 100, "Zones.");
   options.add_duration("measure-for", settings.min_phase_duration, seconds(10),
-                       std::chrono::hours(1), "Simulated time of each stretch, at least.");
+                       std::chrono::hours(1), "Minimum simulated time of each phase.");
   options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Seed.");
   static_cast<void>(set_log_levels("off"));
   const OptionsOutcome outcome = options.read(arguments, output, errors);
--- a/src/bench/hollow_command.hpp
+++ b/src/bench/hollow_command.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The command `hollow`: many nodes in one process, with the real code and codec on a simulated
-/// network, to measure what control costs as the fleet grows.
+/// The command `hollow`: runs many nodes in one process, with the real code and codec on a
+/// simulated network, to measure how control-plane cost grows with the fleet.
 #pragma once
 
 #include <iosfwd>
--- a/src/bench/keys_command.cpp
+++ b/src/bench/keys_command.cpp
@@ -20,7 +20,7 @@
   return "key-" + std::to_string(tenant) + "-" + std::to_string(key);
 }
 
-/// Hashes as the adapter does when a configuration comes.
+/// Hashes the keys as the adapter does when it receives a configuration.
 relay::RouteConfiguration make_configuration(const KeysSettings& settings) {
   relay::RouteConfiguration configuration;
   configuration.version = 1;
@@ -52,7 +52,7 @@
   OptionSet options("shuntbank-bench keys [options]");
   options.add_whole("tenants", settings.tenants, 1, 1000000, "Tenants in the configuration.");
   options.add_whole("keys", settings.keys_per_tenant, 1, 100, "Keys of each tenant.");
-  options.add_whole("requests", settings.requests, 1, 100000000, "Keys that are looked at.");
+  options.add_whole("requests", settings.requests, 1, 100000000, "Key lookups.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
   const double bytes_before = allocated_bytes();
@@ -63,16 +63,16 @@
   const relay::Route& route = table.configuration().routes.front();
   std::uint64_t admitted = 0;
   for (std::uint64_t i = 0; i < settings.requests; ++i) {
-    // Each second one is in force.
+    // Every second key is valid.
     const std::uint64_t key = i % 2 == 0 ? 0 : settings.keys_per_tenant;
     if (table.admit(route, make_key(i % settings.tenants, key), 0).admitted) ++admitted;
   }
   const MonotonicTime lookup_end = monotonic_now();
   const double us_per_lookup =
       to_seconds(lookup_end - build_end) * 1e6 / static_cast<double>(settings.requests);
-  output << "taken over in " << to_ms(build_end - start) << " ms, " << table_bytes / (1 << 20)
-         << " MiB; " << us_per_lookup << " us a look, " << admitted << " of " << settings.requests
-         << " admitted\n";
+  output << "applied in " << to_ms(build_end - start) << " ms, " << table_bytes / (1 << 20)
+         << " MiB; " << us_per_lookup << " us per lookup, " << admitted << " of "
+         << settings.requests << " admitted\n";
   return ExitCode::kSuccess;
 }
 
--- a/src/bench/keys_command.hpp
+++ b/src/bench/keys_command.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// `shuntbank-bench keys`: what tenants' keys cost a node at a size.
+/// `shuntbank-bench keys`: measures lookup time and memory of tenant keys on a node.
 #pragma once
 
 #include <iosfwd>
--- a/src/bench/load_command.cpp
+++ b/src/bench/load_command.cpp
@@ -24,7 +24,7 @@
   return text.str();
 }
 
-/// @return role changes that the holders of leases confirmed, over all nodes that were asked.
+/// @return confirmed role changes, summed over all given nodes; skips nodes that do not answer.
 std::uint64_t count_role_changes(const std::vector<std::string>& operator_addresses) {
   std::uint64_t changes = 0;
   for (const std::string& address : operator_addresses) {
@@ -44,9 +44,9 @@
 void print_report(std::ostream& output, const LoadReport& report, std::uint64_t role_changes) {
   Table table({"MEASURE", "VALUE"});
   table.add({"requests", std::to_string(report.sent)});
-  table.add({"whole answers", std::to_string(report.completed)});
-  table.add({"crossed answers", std::to_string(report.mismatched)});
-  table.add({"cut answers", std::to_string(report.truncated)});
+  table.add({"completed answers", std::to_string(report.completed)});
+  table.add({"mismatched answers", std::to_string(report.mismatched)});
+  table.add({"truncated answers", std::to_string(report.truncated)});
   for (const auto& [error, count] : report.errors)
     table.add({"error " + error, std::to_string(count)});
   table.add({"goodput", format_rate(report.goodput())});
@@ -71,10 +71,10 @@
   OptionSet options("shuntbank-bench load [options]");
   options.add_texts("target", settings.targets, "IP:PORT of a callers' interface.");
   options.add_texts("operators", operator_addresses,
-                    "IP:PORT of an operators' interface, for role changes.");
+                    "IP:PORT of an operators' interface, to count role changes.");
   options.add_text("key", settings.key, "Tenant key.");
   options.require("key");
-  options.add_text("model", settings.model, "Model to ask.");
+  options.add_text("model", settings.model, "Model to request.");
   options.add_text("service-path", settings.service_path,
                    "Path of a plain service to call instead.");
   options.add("phase", "LENGTH:RATE:PROMPT:OUTPUT, tokens. May be repeated.", "",
@@ -85,7 +85,7 @@
                 return {};
               });
   options.add_flag("stream", settings.stream, "Ask for streamed answers.");
-  options.add_flag("strict", strict, "Fail unless every answer is whole.");
+  options.add_flag("strict", strict, "Fail unless every answer is complete.");
   options.add_whole("seed", settings.seed, 0, UINT64_MAX, "Seed of arrivals and prompts.");
   options.add_duration("first-token-target", settings.first_token_target, Duration(1),
                        std::chrono::hours(1), "Latency target that counts as good.");
--- a/src/bench/load_command.hpp
+++ b/src/bench/load_command.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The command `load`: runs load and prints a table.
+/// The command `load`: runs load and prints a table of the results.
 #pragma once
 
 #include <iosfwd>
@@ -10,7 +10,7 @@
 
 namespace shuntbank {
 
-/// Runs `shuntbank-bench load`. Fails when an answer was cut or crossed.
+/// Runs `shuntbank-bench load`. Fails when an answer was truncated or mismatched.
 ExitCode run_load_command(const std::vector<std::string>& arguments, std::ostream& output,
                           std::ostream& errors);
 
--- a/src/bench/load_generator.cpp
+++ b/src/bench/load_generator.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t kCharactersPerToken = 4;
 
-/// Share of a prompt that it has in common with others of its history.
+/// Share of a prompt that is a prefix shared with other prompts.
 constexpr double kSharedPrefixShare = 0.75;
 
 std::string repeat_text(const std::string& unit, std::size_t size) {
@@ -32,7 +32,7 @@
   return text;
 }
 
-/// One request on its way and what came back so far.
+/// An in-flight request and the part of its answer received so far.
 struct Call {
   std::string prompt;
   std::uint32_t output_tokens = 0;
@@ -179,7 +179,7 @@
 
   std::string expected_answer(const Call& call) const {
     if (!settings_.model.empty()) return whole_answer(call.prompt, call.output_tokens);
-    // The stand-in sees the path behind the service's name.
+    // The stand-in receives the path without the service prefix.
     const std::string prefix = "/services/";
     const std::size_t slash = settings_.service_path.find('/', prefix.size());
     return sha256_hex("POST " + settings_.service_path.substr(slash) + "\n" + call.prompt);
--- a/src/bench/overhead_command.cpp
+++ b/src/bench/overhead_command.cpp
@@ -18,7 +18,7 @@
 
 using nlohmann::json;
 
-/// Pause that lets a burst of openings or closings settle before memory is read.
+/// Wait between opening the streams and reading the memory use.
 constexpr Duration kSettleTime = std::chrono::seconds(2);
 
 struct OverheadSettings {
@@ -27,18 +27,18 @@
   std::uint64_t node_pid = 0;
   std::string key;
   std::string idle_model;  ///< Served by the idle engine.
-  std::string busy_model;  ///< Served by the engine that feeds the open streams.
+  std::string busy_model;  ///< Served by the engine of the open streams.
   std::uint64_t streams = 1000;
   std::uint64_t rounds = 2000;
   Duration relay_duration = std::chrono::seconds(5);
 };
 
-/// Processor seconds that a process used so far, from the kernel's account.
+/// CPU seconds used by a process so far.
 double cpu_seconds(std::uint64_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
   std::getline(file, text);
-  // Fields are counted behind the program's name, which is in parentheses and may hold spaces.
+  // Skips the program's name, which is in parentheses and may contain spaces.
   std::istringstream fields(text.substr(text.rfind(')') + 1));
   constexpr int kFieldsBeforeUserTime = 11;
   std::string skipped;
@@ -165,7 +165,7 @@
       text << std::fixed << std::setprecision(0) << seconds * 1e6 << " us";
       return text.str();
     };
-    Table table({"MEASURE", "STRAIGHT", "THROUGH A NODE", "ADDED"});
+    Table table({"MEASURE", "DIRECT", "THROUGH A NODE", "ADDED"});
     for (const double q : {0.5, 0.99}) {
       const double direct = percentile(direct_seconds_, q);
       const double through_node = percentile(through_node_seconds_, q);
@@ -174,11 +174,10 @@
     }
     table.print(output);
     output << "\nopen streams: " << open_count << " (ended early: " << streams_ended_ << ")\n"
-           << "memory a stream: " << std::llround(bytes_per_stream / 1024) << " KiB\n"
-           << "relayed chunks: " << std::llround(relay_chunks_ / relay_seconds_)
-           << " a second; node used " << std::setprecision(2) << relay_cpu_seconds_ / relay_seconds_
-           << " cores\n"
-           << "relayed chunks a core second: " << std::llround(relay_chunks_ / relay_cpu_seconds_)
+           << "memory per stream: " << std::llround(bytes_per_stream / 1024) << " KiB\n"
+           << "relayed chunks: " << std::llround(relay_chunks_ / relay_seconds_) << "/s; node used "
+           << std::setprecision(2) << relay_cpu_seconds_ / relay_seconds_ << " cores\n"
+           << "relayed chunks per core second: " << std::llround(relay_chunks_ / relay_cpu_seconds_)
            << "\n";
   }
 
@@ -207,12 +206,13 @@
   options.add_whole("node-pid", settings.node_pid, 1, UINT32_MAX, "Process id of the node.");
   options.add_text("key", settings.key, "Tenant key.");
   options.add_text("idle-model", settings.idle_model, "Model of the idle engine.");
-  options.add_text("busy-model", settings.busy_model, "Model that feeds the open streams.");
+  options.add_text("busy-model", settings.busy_model, "Model of the open streams.");
   for (const char* name : {"engine", "node", "node-pid", "key", "idle-model", "busy-model"}) {
     options.require(name);
   }
-  options.add_whole("streams", settings.streams, 0, 100'000, "Streams that stay open.");
-  options.add_whole("rounds", settings.rounds, 10, 1'000'000, "Requests straight and through.");
+  options.add_whole("streams", settings.streams, 0, 100'000, "Concurrently open streams.");
+  options.add_whole("rounds", settings.rounds, 10, 1'000'000,
+                    "Requests sent directly and through the node, each.");
   options.add_duration("relay-time", settings.relay_duration, std::chrono::seconds(1),
                        std::chrono::hours(1), "Time over which chunks are counted.");
   const OptionsOutcome outcome = options.read(arguments, output, errors);
--- a/src/bench/overhead_command.hpp
+++ b/src/bench/overhead_command.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The command `overhead`: what a node adds to a request, against the same requests straight to the
-/// engine, in turn, in one run.
+/// The command `overhead`: measures what a node adds to a request, alternating requests through the
+/// node with direct requests to the engine.
 #pragma once
 
 #include <iosfwd>
@@ -11,7 +11,7 @@
 
 namespace shuntbank {
 
-/// Runs `shuntbank-bench overhead` on a site that is running. scripts/overhead starts one.
+/// Runs `shuntbank-bench overhead` on a running site. scripts/overhead starts one.
 ExitCode run_overhead_command(const std::vector<std::string>& arguments, std::ostream& output,
                               std::ostream& errors);
 
--- a/src/bench/simulate_command.cpp
+++ b/src/bench/simulate_command.cpp
@@ -31,7 +31,7 @@
   return tl::make_unexpected("'" + text + "' is neither A nor A..B");
 }
 
-/// Runs all seeds on a few threads; each schedule is a world of its own.
+/// Runs all seeds on several threads; the schedules share no state.
 class SeedRunner {
  public:
   SeedRunner(const SeedRange& range, std::uint64_t threads)
@@ -82,9 +82,9 @@
                 range = *parsed;
                 return {};
               });
-  options.add_whole("threads", threads, 1, 256, "Schedules at once.");
-  options.add_flag("events", events, "Print the events of the first broken schedule.");
-  // Quiet unless --log-level asks for more, which is of use with a single seed.
+  options.add_whole("threads", threads, 1, 256, "Schedules run in parallel.");
+  options.add_flag("events", events, "Print the events of the first failed schedule.");
+  // Logs are off unless --log-level is given, which is useful with a single seed.
   static_cast<void>(set_log_levels("off"));
   const OptionsOutcome outcome = options.read(arguments, output, errors);
   if (!outcome.run) return outcome.code;
@@ -98,7 +98,7 @@
     for (const std::string& event : run.violations.begin()->second.events) output << event << "\n";
   }
   output << run.schedule_count << " schedules, " << run.requests << " requests, " << run.completed
-         << " answered whole, " << run.violations.size() << " schedules broke a promise\n";
+         << " completed, " << run.violations.size() << " schedules violated an invariant\n";
   for (const auto& [invariant, count] : violation_counts)
     output << "  " << count << " x " << invariant << "\n";
   return run.violations.empty() ? ExitCode::kSuccess : ExitCode::kFailure;
--- a/src/bench/simulate_command.hpp
+++ b/src/bench/simulate_command.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The command `simulate`: runs seeded schedules of faults and reports broken promises.
+/// The command `simulate`: runs seeded fault schedules and reports violated invariants.
 #pragma once
 
 #include <iosfwd>
@@ -10,7 +10,7 @@
 
 namespace shuntbank {
 
-/// Runs `shuntbank-bench simulate`. Fails when a promise was broken.
+/// Runs `shuntbank-bench simulate`. Fails when an invariant was violated.
 ExitCode run_simulate_command(const std::vector<std::string>& arguments, std::ostream& output,
                               std::ostream& errors);
 
--- a/tests/process/failure_test.cpp
+++ b/tests/process/failure_test.cpp
@@ -1,4 +1,4 @@
-// The promises of the brief under failure, through real processes.
+// Fault tolerance of a site of real processes.
 
 #include <criterion/criterion.h>
 
@@ -21,7 +21,7 @@
   return std::string(reply.headers.get("X-Request-Id"));
 }
 
-/// Runs load in the background while `action` does something to the site.
+/// Runs load in the background during `action`.
 LoadReport load_during(const LoadSettings& settings, const std::function<void()>& action) {
   LoadReport report;
   std::thread load_thread([&] { report = run_load(settings); });
@@ -46,7 +46,7 @@
   cr_assert_eq(once.status, 502, "%d %s", once.status, once.body.c_str());
   cr_assert_eq(once.json["error"]["outcome"], "unknown");
   cr_assert_eq(site.count_runs(request_id_of(once)), 1);
-  // A repeatable one is tried elsewhere.
+  // A repeatable request is retried on another engine.
   const Reply repeated = site.send_request(0, Site::completion("lore", 5));
   cr_assert_gt(site.count_runs(request_id_of(repeated)), 1);
 }
@@ -97,7 +97,7 @@
 Test(failure, rolling_restart_interrupts_no_request) {
   Site site;
   for (std::size_t i = 0; i < 3; ++i) {
-    // Callers stop using a node once it says that it is not ready; requests in flight go on.
+    // Callers stop using a node once it is not ready; requests in flight continue.
     LoadSettings settings = site.load_settings(25, 3s, 150);
     const LoadReport before = load_during(settings, [&] {
       cr_assert(eventually([&] { return site.executions(0)["executions"].size() > 3; }));
@@ -114,8 +114,9 @@
       site.start_node(i);
     });
     draining_load.join();
-    cr_assert_eq(draining_report.completed, draining_report.sent, "at the leaver: %lu of %lu",
-                 draining_report.completed, draining_report.sent);
+    cr_assert_eq(draining_report.completed, draining_report.sent,
+                 "at the draining node: %lu of %lu", draining_report.completed,
+                 draining_report.sent);
     cr_assert_eq(report.completed, report.sent, "%lu of %lu", report.completed, report.sent);
     cr_assert(eventually([&] { return site.all_see_members(3); }));
   }
@@ -125,7 +126,7 @@
   Site site;
   cr_assert_eq(send("POST", "http://" + site.operators(1) + "/v1/drain").status, 200);
   cr_assert_eq(send("GET", "http://" + site.operators(1) + "/readyz").status, 503);
-  // Said twice it is the same word, and not a reason to end at once.
+  // A second drain request is idempotent and does not stop the node at once.
   cr_assert_eq(send("POST", "http://" + site.operators(1) + "/v1/drain").status, 200);
   cr_assert_eq(send("GET", "http://" + site.operators(1) + "/healthz").status, 200);
   cr_assert_eq(site.nodes[1]->wait(), 0);
@@ -177,7 +178,7 @@
   const Reply change = site.set_weight(0, "new", 0, 2);
   cr_assert_eq(change.status, 503);
   cr_assert_eq(change.json["changed"], "no");
-  // A node that starts meanwhile takes the configuration from its peers.
+  // With the store back, the remaining nodes acquire the lease again.
   site.nodes[2]->kill();
   site.set_faults(site.platform_address(), {{"down", false}});
   cr_assert(eventually([&] { return site.lease_holder() >= 0; }));
@@ -249,7 +250,7 @@
   const Reply second = site.send_request(1, Site::completion("settle", 5), key);
   cr_assert_eq(second.status, 409, "%s", second.body.c_str());
   cr_assert_eq(second.json["error"]["outcome"], "unknown");
-  // Another tenant's key of the same text is another key.
+  // Keys are scoped to the tenant.
   const Reply other =
       site.send_request(1, Site::completion("settle", 5),
                         {{"Idempotency-Key", "trade-17"},
@@ -259,7 +260,7 @@
   const Reply after_kill = site.send_request(2, Site::completion("settle", 5), key);
   cr_assert_eq(after_kill.status, 409, "%d %s", after_kill.status, after_kill.body.c_str());
   site.start_node(0);
-  // The restarted node has forgotten everything; the others teach it before it may grant again.
+  // The restarted node has lost its claims and must fetch them from its peers before it may grant.
   cr_assert(eventually([&] { return site.claims_are_ready(); }));
   site.nodes[1]->kill();
   for (int i = 0; i < 20; ++i) {
--- a/tests/process/support/process.cpp
+++ b/tests/process/support/process.cpp
@@ -35,7 +35,7 @@
             boost::process::exe = program_path(program),
             boost::process::args = std::move(arguments),
             (boost::process::std_out & boost::process::std_err) > output,
-            // Ends with the test also when an assertion leaves no time for destructors.
+            // Kills the child with the test, as a failed assertion skips destructors.
             boost::process::extend::on_exec_setup = [](auto&) {
               prctl(PR_SET_PDEATHSIG, SIGKILL);
             }) {}
--- a/tests/process/support/process.hpp
+++ b/tests/process/support/process.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Real processes for tests. Boost.Process stays behind this header, since it brings an Asio of its
-/// own that cannot be included beside the standalone one.
+/// Child processes for tests. Hides Boost.Process, whose Boost.Asio cannot be included together
+/// with the standalone Asio.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace shuntbank::testing {
 
-/// One process under test. Ended when the object goes.
+/// A process under test. The destructor kills it.
 class Process {
  public:
   Process(const std::string& program, std::vector<std::string> arguments);
@@ -21,12 +21,12 @@
   /// @return the address that the process printed for one of its interfaces; waits for it.
   std::string address(const std::string& interface);
 
-  /// @return whether the output holds the text.
+  /// @return whether the output contains the text.
   bool printed(const std::string& text) const;
 
   void send_signal(int signal);
 
-  /// Kills at once and reaps.
+  /// Sends SIGKILL and reaps the process.
   void kill();
 
   /// Waits until the process has ended. @return its exit code.
--- a/tests/process/support/site.hpp
+++ b/tests/process/support/site.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A whole site of real processes on 127.0.0.1, with ports chosen by the kernel.
+/// A complete site of processes on 127.0.0.1, with ports chosen by the kernel.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace shuntbank::testing {
 
-/// One reply with its JSON, when it has some.
+/// A reply and its parsed body, when that is JSON.
 struct Reply {
   int status = 0;  ///< Zero: no reply.
   HttpHeaders headers;
@@ -22,11 +22,11 @@
   nlohmann::json json;
 };
 
-/// Sends one request and waits.
+/// Sends one request and waits for the reply.
 Reply send(const std::string& method, const std::string& url, const std::string& body = "",
            const HttpHeaders& headers = {});
 
-/// Shape of a site.
+/// Size and process options of a site.
 struct SiteOptions {
   int nodes = 3;
   int engines = 3;
@@ -36,7 +36,7 @@
   nlohmann::json allowed_roles = nlohmann::json::array({"mixed"});
 };
 
-/// A platform, engines and nodes that know each other, with a configuration in force.
+/// A platform, engines and nodes that know each other, with an active configuration.
 class Site {
  public:
   explicit Site(SiteOptions options = {});
@@ -46,22 +46,22 @@
   std::string engine(std::size_t index) { return engines.at(index)->address("api"); }
   std::string platform_address() { return platform->address("api"); }
 
-  /// Asks a model through a node.
+  /// Sends a completion request through a node.
   Reply send_request(std::size_t node, const nlohmann::json& body, HttpHeaders headers = {});
 
   /// @return a completion body for the stand-in engines.
   static nlohmann::json completion(const std::string& prompt, int tokens, bool stream = false);
 
-  /// Sets faults of the platform or of an engine.
+  /// Injects faults into the platform or an engine.
   void set_faults(const std::string& address, const nlohmann::json& faults);
 
   nlohmann::json status(std::size_t node);
   nlohmann::json executions(std::size_t engine);
 
-  /// @return how often a request ran, over all engines.
+  /// @return number of executions of a request over all engines.
   int count_runs(const std::string& request_id);
 
-  /// @return whether every engine took orders in the order of their stamps only.
+  /// @return whether every engine accepted orders only with increasing stamps.
   bool orders_are_consistent();
 
   /// @return the node that holds the lease of the model service, or -1.
@@ -70,19 +70,19 @@
   /// @return whether the claim group has three members that serve its view.
   bool claims_are_ready();
 
-  /// Starts a node and tells the platform of it.
+  /// Starts a node and registers it at the platform.
   void start_node(std::size_t index);
 
-  /// @return whether all running nodes see `count` usable members.
+  /// @return whether all running nodes see `count` alive members.
   bool all_see_members(std::size_t count);
 
-  /// Load with whole answers on all nodes.
+  /// @return settings of a load on all nodes.
   LoadSettings load_settings(double rate, Duration length, std::uint32_t output_tokens);
 
   /// Sends edits to a node's operators' interface.
   Reply change(std::size_t node, const std::vector<ObjectEdit>& edits);
 
-  /// Sets a tenant's weight; the usual small edit.
+  /// Sets a tenant's weight.
   Reply set_weight(std::size_t node, const std::string& tenant, Revision base, double weight);
 
   SiteOptions options;
--- a/tests/process/whole_path_test.cpp
+++ b/tests/process/whole_path_test.cpp
@@ -1,4 +1,4 @@
-// The callers' interface, through real processes.
+// The callers' interface of a site of real processes.
 
 #include <criterion/criterion.h>
 
@@ -30,7 +30,7 @@
          "\r\n\r\n" + body;
 }
 
-/// Sends a completion with header lines of the test's choice. @return the status line.
+/// Sends a completion with the given header lines. @return the status line.
 std::string status_line_of(Site& site, const std::string& header_lines) {
   const std::string body = Site::completion("y", 2).dump();
   asio::io_context loop;
@@ -129,7 +129,7 @@
   cr_assert_eq(count_executions(site), 0);
   const std::string status_line =
       status_line_of(site, key + "Idempotency-Key: " + longest_key + "\r\n");
-  // Replicas that have just started grant no claim yet; what counts here is that the key is valid.
+  // Newly started replicas grant no claim yet; this checks only that the key is valid.
   cr_assert_neq(status_line, bad);
 }
 
@@ -162,7 +162,7 @@
   asio::io_context loop;
   auto socket = send_raw(loop, site.callers(0), raw_request(body, body.size()));
   cr_assert(eventually([&] { return site.executions(0)["executions"].size() == 1; }));
-  // Read late, then all of it: nothing was lost and the reply ends properly.
+  // Reads only after the engine has finished: the reply must be complete.
   cr_assert(eventually([&] { return site.executions(0)["executions"][0]["end"] == "finished"; }));
   std::string text;
   std::array<char, 4096> buffer{};
@@ -189,7 +189,7 @@
     expect_not_run(reply, 429, "tenant_limit_reached");
     return !reply.headers.get("Retry-After").empty();
   }));
-  // The other tenant is not touched by it.
+  // Other tenants are unaffected.
   cr_assert_eq(site.send_request(0, Site::completion("x", 1),
                                  {{"Authorization", std::string("Bearer ") + kOtherTenantKey}})
                    .status,
