--- a/src/config/key_index.cpp
+++ b/src/config/key_index.cpp
@@ -7,8 +7,8 @@
 namespace shuntbank {
 namespace {
 
-/// Of a hash that find its bucket: enough to hold few keys each, too few to tell one from its
-/// neighbours by the time that a look-up takes.
+/// Leading hash digits that select a bucket: enough to keep buckets small, few enough that lookup
+/// time reveals little of a hash.
 constexpr std::size_t kBucketDigits = 8;
 
 std::string bucket_of(const std::string& sha256) {
@@ -20,10 +20,10 @@
 bool KeyIndex::add(const TenantName& tenant, const TenantKey& key) {
   const std::string bucket = bucket_of(key.sha256);
   const auto [first, last] = keys_.equal_range(bucket);
-  const auto held = std::find_if(
+  const auto existing = std::find_if(
       first, last, [&key](const auto& entry) { return entry.second.key.sha256 == key.sha256; });
-  if (held != last) {
-    held->second.ambiguous = true;
+  if (existing != last) {
+    existing->second.ambiguous = true;
     return false;
   }
   keys_.emplace(bucket, Entry{tenant, key});
--- a/src/node/caller_api.cpp
+++ b/src/node/caller_api.cpp
@@ -12,54 +12,52 @@
 
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::string_view kServicesPath = "/services/";
-constexpr Duration kNotReadyRetry = std::chrono::seconds(2);
+constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(2);
 constexpr std::size_t kRequestIdBytes = 12;
 
-CallerError invalid(const std::string& message) {
+CallerError invalid_request(const std::string& message) {
   return {ErrorCode::kInvalidRequest, message, RequestOutcome::kNotRun, std::nullopt};
 }
 
-/// Parses JSON of bounded depth. @return the value, or what is wrong. Text must be valid UTF-8.
+/// Parses JSON of bounded depth in UTF-8. @return the value, or an error message.
 tl::expected<json, std::string> parse_bounded(const std::string& text, std::uint64_t max_depth) {
   bool too_deep = false;
-  const auto bounded = [&too_deep, max_depth](int depth, json::parse_event_t, json&) {
+  const auto depth_limit = [&too_deep, max_depth](int depth, json::parse_event_t, json&) {
     too_deep = too_deep || static_cast<std::uint64_t>(depth) > max_depth;
     return !too_deep;
   };
   try {
-    json value = json::parse(text, bounded, true);
+    json value = json::parse(text, depth_limit, true);
     if (too_deep) return tl::make_unexpected(std::string("the JSON is nested too deeply"));
     return value;
   } catch (const json::exception&) {
-    // The library's message quotes the input, which may be prompt text; it is not passed on.
+    // The library's message is dropped: it quotes the input, which may be prompt text.
     return tl::make_unexpected(std::string("the body is not valid JSON in UTF-8"));
   }
 }
 
-/// Longest idempotency key, in bytes.
-constexpr std::size_t kMaxIdempotencyKey = 255;
+constexpr std::size_t kMaxIdempotencyKeyBytes = 255;
 
-/// Fields that two readers could read differently are refused, not guessed.
-/// @return what is wrong with them, or empty text.
-std::string doubtful_fields(const HttpHeaders& headers) {
+/// Rejects ambiguous header fields. @return an error message, or an empty string.
+std::string check_header_fields(const HttpHeaders& headers) {
   if (headers.count("Authorization") > 1) return "more than one Authorization field";
-  const std::size_t keys = headers.count("Idempotency-Key");
-  if (keys > 1) return "more than one Idempotency-Key field";
+  const std::size_t key_count = headers.count("Idempotency-Key");
+  if (key_count > 1) return "more than one Idempotency-Key field";
   const std::size_t length = headers.get("Idempotency-Key").size();
-  if (keys == 1 && (length == 0 || length > kMaxIdempotencyKey)) {
-    return "an Idempotency-Key has 1 to " + std::to_string(kMaxIdempotencyKey) + " bytes";
+  if (key_count == 1 && (length == 0 || length > kMaxIdempotencyKeyBytes)) {
+    return "an Idempotency-Key has 1 to " + std::to_string(kMaxIdempotencyKeyBytes) + " bytes";
   }
   return "";
 }
 
-/// @return whether the caller marked the request as not repeatable, or what is wrong with the mark.
+/// @return whether the request may be run more than once, or an error message.
 tl::expected<bool, std::string> is_repeatable(const HttpRequest& request) {
-  const std::string_view mark = request.headers.get("X-Shuntbank-Repeatable");
-  if (!mark.empty() && mark != "true" && mark != "false") {
+  const std::string_view value = request.headers.get("X-Shuntbank-Repeatable");
+  if (!value.empty() && value != "true" && value != "false") {
     return tl::make_unexpected(std::string("X-Shuntbank-Repeatable must be true or false"));
   }
   const bool has_key = !request.headers.get("Idempotency-Key").empty();
-  return mark != "false" && !has_key;
+  return value != "false" && !has_key;
 }
 
 }  // namespace
@@ -74,11 +72,11 @@
   if (!snapshot) {
     return refuse(id,
                   {ErrorCode::kNotReady, "the node has no configuration yet",
-                   RequestOutcome::kNotRun, kNotReadyRetry},
+                   RequestOutcome::kNotRun, kNotReadyRetryAfter},
                   responder);
   }
-  const std::string doubt = doubtful_fields(request.headers);
-  if (!doubt.empty()) return refuse(id, invalid(doubt), responder);
+  const std::string header_error = check_header_fields(request.headers);
+  if (!header_error.empty()) return refuse(id, invalid_request(header_error), responder);
   const Tenant* tenant = authenticate(request, *snapshot);
   if (tenant == nullptr) {
     return refuse(id,
@@ -88,16 +86,16 @@
   }
   const bool is_post = request.method == "POST";
   if (request.path == engine_api::kChatPath && is_post) {
-    return complete(request, id, *tenant, CompletionKind::kChat, responder);
+    return handle_completion(request, id, *tenant, CompletionKind::kChat, responder);
   }
   if (request.path == engine_api::kCompletionPath && is_post) {
-    return complete(request, id, *tenant, CompletionKind::kText, responder);
+    return handle_completion(request, id, *tenant, CompletionKind::kText, responder);
   }
   if (request.path == "/v1/models" && request.method == "GET") {
     return list_models(*snapshot, id, responder);
   }
   if (request.path.rfind(kServicesPath, 0) == 0) {
-    return call_plain(std::move(request), id, *tenant, responder);
+    return handle_plain(std::move(request), id, *tenant, responder);
   }
   refuse(id,
          {ErrorCode::kUnknownPath, "there is nothing at this path for this method",
@@ -132,18 +130,18 @@
        body.dump()});
 }
 
-void CallerApi::complete(const HttpRequest& request, RequestId id, const Tenant& tenant,
-                         CompletionKind kind, const Responder& responder) {
-  if (request.body.size() > settings_.max_body) {
+void CallerApi::handle_completion(const HttpRequest& request, RequestId id, const Tenant& tenant,
+                                  CompletionKind kind, const Responder& responder) {
+  if (request.body.size() > settings_.max_body_bytes) {
     return refuse(
         id, {ErrorCode::kTooLarge, "the body is too large", RequestOutcome::kNotRun, std::nullopt},
         responder);
   }
   auto body = parse_bounded(request.body, settings_.max_json_depth);
-  if (!body) return refuse(id, invalid(body.error()), responder);
+  if (!body) return refuse(id, invalid_request(body.error()), responder);
   Findings findings;
-  const PromptFacts facts = read_prompt(kind, *body, findings);
-  if (!findings.empty()) return refuse(id, invalid(findings.to_text()), responder);
+  const ParsedPrompt facts = parse_prompt(kind, *body, findings);
+  if (!findings.empty()) return refuse(id, invalid_request(findings.to_text()), responder);
   const SnapshotPointer snapshot = config_.replica().snapshot();
   const ModelRoute* route = snapshot->find_model(facts.model);
   if (route == nullptr) {
@@ -166,16 +164,16 @@
   submit(std::move(session), request, tenant, responder);
 }
 
-void CallerApi::call_plain(HttpRequest request, RequestId id, const Tenant& tenant,
-                           const Responder& responder) {
-  if (request.body.size() > settings_.max_body) {
+void CallerApi::handle_plain(HttpRequest request, RequestId id, const Tenant& tenant,
+                             const Responder& responder) {
+  if (request.body.size() > settings_.max_body_bytes) {
     return refuse(
         id, {ErrorCode::kTooLarge, "the body is too large", RequestOutcome::kNotRun, std::nullopt},
         responder);
   }
-  const std::string rest = request.path.substr(kServicesPath.size());
-  const std::size_t slash = std::min(rest.find('/'), rest.size());
-  const ServiceName name(rest.substr(0, slash));
+  const std::string service_path = request.path.substr(kServicesPath.size());
+  const std::size_t slash = std::min(service_path.find('/'), service_path.size());
+  const ServiceName name(service_path.substr(0, slash));
   const Service* service = config_.replica().snapshot()->find_service(name);
   if (service == nullptr || service->kind != ServiceKind::kPlain) {
     return refuse(id,
@@ -188,7 +186,7 @@
   session.service = name;
   session.plain = true;
   session.method = request.method;
-  session.path = slash < rest.size() ? rest.substr(slash) : "/";
+  session.path = slash < service_path.size() ? service_path.substr(slash) : "/";
   if (!request.query.empty()) session.path += "?" + request.query;
   session.content_type = std::string(request.headers.get("Content-Type"));
   session.raw_body = std::move(request.body);
@@ -198,14 +196,14 @@
 void CallerApi::submit(SessionRequest session, const HttpRequest& request, const Tenant& tenant,
                        const Responder& responder) {
   const auto repeatable = is_repeatable(request);
-  if (!repeatable) return refuse(session.id, invalid(repeatable.error()), responder);
+  if (!repeatable) return refuse(session.id, invalid_request(repeatable.error()), responder);
   session.repeatable = *repeatable;
   session.tenant = tenant.name;
   const std::string_view key = request.headers.get("Idempotency-Key");
   if (!key.empty()) session.claim = claim_key(tenant.name, std::string(key));
   session.snapshot = config_.replica().snapshot();
-  session.arrived = runtime_.now();
-  session.deadline = session.arrived + settings_.request_deadline;
+  session.arrived_at = runtime_.now();
+  session.deadline = session.arrived_at + settings_.request_timeout;
   const Policy& policy = session.snapshot->policy_for(tenant, session.service);
   session.priority = policy.priority;
   const double weight = tenant.weight;
--- a/src/node/caller_api.hpp
+++ b/src/node/caller_api.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The callers' interface: the OpenAI-compatible paths and the plain services. It authenticates,
-/// checks and hands requests to the queue. docs/API.md describes it.
+/// HTTP API for callers: OpenAI-compatible endpoints and plain services. Authenticates and
+/// validates requests, then submits them to the queue. See docs/API.md.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace shuntbank {
 
-/// Serves callers.
+/// Routes, authenticates and validates the requests of callers.
 class CallerApi {
  public:
   CallerApi(Runtime& runtime, const NodeSettings& settings, const ConfigService& config,
@@ -28,10 +28,10 @@
 
   const Tenant* authenticate(const HttpRequest& request, const Snapshot& snapshot) const;
   void list_models(const Snapshot& snapshot, const RequestId& id, const Responder& responder) const;
-  void complete(const HttpRequest& request, RequestId id, const Tenant& tenant, CompletionKind kind,
-                const Responder& responder);
-  void call_plain(HttpRequest request, RequestId id, const Tenant& tenant,
-                  const Responder& responder);
+  void handle_completion(const HttpRequest& request, RequestId id, const Tenant& tenant,
+                         CompletionKind kind, const Responder& responder);
+  void handle_plain(HttpRequest request, RequestId id, const Tenant& tenant,
+                    const Responder& responder);
   void submit(SessionRequest session, const HttpRequest& request, const Tenant& tenant,
               const Responder& responder);
   void refuse(const RequestId& id, const CallerError& error, const Responder& responder) const;
--- a/src/node/claim_service.hpp
+++ b/src/node/claim_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Claims of this node: asks the group's replicas before a request that may run only once, serves
-/// as a replica, and coordinates the group when that duty falls to this node.
+/// Idempotency claims: claims a key at the group's replicas before a run-once request is
+/// dispatched, serves as a replica, and coordinates the group when this node holds that duty.
 #pragma once
 
 #include <functional>
@@ -15,25 +15,25 @@
 
 namespace shuntbank {
 
-/// All of a node's part in claims. Keys are remembered for a retention time.
+/// Claim client, replica and group coordinator of a node. Keys are kept for a retention time.
 class ClaimService {
  public:
   ClaimService(Runtime& runtime, ObjectClient& platform, ClusterService& cluster, RegionName region,
                Duration retention);
 
   /// Claims a key for a request.
-  /// @param handler gets `kGranted` once a majority holds it; `kHeld` when another request has it;
-  /// `kUnavailable` when no majority answered in time, so that nothing may be dispatched.
+  /// @param handler gets `kGranted` once a majority granted it; `kHeld` if another request has it;
+  /// `kUnavailable` if no majority answered in time, in which case nothing may be dispatched.
   using ClaimHandler = std::function<void(ClaimVerdict)>;
   void claim(const ClaimKey& key, const RequestId& claimant, ClaimHandler handler);
 
-  /// Gives a claim back: its request surely did not run.
+  /// Releases a claim. @pre the request is known not to have run.
   void release(const ClaimKey& key, const RequestId& claimant);
 
-  /// Answers a message about claims; nothing when it is none.
-  std::optional<Message> answer(const Message& message);
+  /// Handles a claim message. @return the reply, if any.
+  std::optional<Message> handle_message(const Message& message);
 
-  /// Stops coordinating: this node is leaving. It goes on as a replica to its end.
+  /// Stops coordinating because this node is leaving. It still serves as a replica.
   void resign() { resigned_ = true; }
 
   const ClaimGroupRecord& record() const { return record_; }
@@ -45,18 +45,18 @@
 
   std::vector<MemberFact> candidates() const;
   bool is_coordinator() const;
-  void ask_replicas(const std::shared_ptr<Attempt>& attempt);
+  void request_votes(const std::shared_ptr<Attempt>& attempt);
   void on_vote(const std::shared_ptr<Attempt>& attempt, ClaimVerdict verdict);
-  void refresh_then(const std::shared_ptr<Attempt>& attempt);
-  void pull_record(std::vector<MemberFact> from, std::function<void()> then);
-  void keep_record_fresh();
-  void ask(const ClaimMember& member, const Message& message,
-           std::function<void(const std::optional<Message>&)> handler);
+  void refresh_and_retry(const std::shared_ptr<Attempt>& attempt);
+  void pull_record(std::vector<MemberFact> sources, std::function<void()> then);
+  void refresh_record();
+  void call_member(const ClaimMember& member, const Message& message,
+                   std::function<void(const std::optional<Message>&)> handler);
   void tick();
   void read_record();
   void write_record(const ClaimGroupRecord& next);
   void probe_members();
-  bool consider_change(const std::set<NodeId>& vouching);
+  bool try_change_group(const std::set<NodeId>& serving_members);
   void run_takeover();
 
   Runtime& runtime_;
@@ -67,16 +67,16 @@
   ClaimReplica replica_;
   ClaimGroupRecord record_;
   std::uint64_t record_version_ = 0;
-  bool record_read_ = false;
-  bool store_busy_ = false;
-  std::set<NodeId> vouching_;
-  std::size_t probes_open_ = 0;
-  int change_wanted_ticks_ = 0;
+  bool record_loaded_ = false;
+  bool store_call_pending_ = false;
+  std::set<NodeId> serving_members_;
+  std::size_t pending_probes_ = 0;
+  int change_pending_ticks_ = 0;
   std::optional<ClaimTakeover> takeover_;
   int takeover_ticks_ = 0;
   int unstable_ticks_ = 0;
   bool resigned_ = false;
-  bool pulling_ = false;
+  bool pull_pending_ = false;
   MonotonicTime next_pull_{};
   Periodic ticker_;
 };
--- a/src/node/control_service.cpp
+++ b/src/node/control_service.cpp
@@ -10,17 +10,17 @@
 namespace shuntbank {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
-constexpr Duration kPlanEvery = std::chrono::seconds(1);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
+constexpr Duration kPlanInterval = std::chrono::seconds(1);
 
-/// Nodes that stand by for each lease, the preferred holder included.
+/// Candidates for each lease, the preferred holder included.
 constexpr std::size_t kLeaseCandidates = 2;
 
 constexpr std::size_t kWriteIdBytes = 8;
 
 const Policy kDefaultPolicy;
 
-bool allows_split(const Service& service) {
+bool allows_disaggregation(const Service& service) {
   const auto allows = [&service](EngineRole role) {
     return std::find(service.allowed_roles.begin(), service.allowed_roles.end(), role) !=
            service.allowed_roles.end();
@@ -31,14 +31,14 @@
 }  // namespace
 
 ControlService::ControlService(Runtime& runtime, ObjectClient& platform, EngineClient& engines,
-                               ClusterService& cluster, RegionName region, Duration lease_length)
+                               ClusterService& cluster, RegionName region, Duration lease_duration)
     : runtime_(runtime),
       platform_(platform),
       engines_(engines),
       cluster_(cluster),
       region_(std::move(region)),
-      lease_settings_{lease_length, lease_length / 4, lease_length / 5},
-      ticker_(runtime, kTick, [this] { tick(); }) {}
+      lease_settings_{lease_duration, lease_duration / 4, lease_duration / 5},
+      ticker_(runtime, kTickInterval, [this] { tick(); }) {}
 
 void ControlService::configure(const SnapshotPointer& snapshot) {
   snapshot_ = snapshot;
@@ -92,11 +92,11 @@
 void ControlService::run_lease(const ServiceName& service, Duty& duty) {
   const MonotonicTime now = runtime_.now();
   const int rank = rank_of_self(service);
-  const bool holding = duty.lease.authority(now).has_value();
-  // A standby looks less often, so that the preferred holder goes first and the store is spared.
-  if (rank > 0 && !holding) {
+  const bool has_authority = duty.lease.authority(now).has_value();
+  // Standbys poll less often, to let the preferred holder go first and limit the store's load.
+  if (rank > 0 && !has_authority) {
     if (now < duty.next_standby_poll) return;
-    duty.next_standby_poll = now + lease_settings_.length / 2;
+    duty.next_standby_poll = now + lease_settings_.duration / 2;
   }
   switch (duty.lease.poll(now, rank >= 0, runtime_.random_hex(kWriteIdBytes))) {
     case LeaseAction::kNothing:
@@ -133,14 +133,15 @@
 
 void ControlService::drop_controller(Duty& duty) {
   if (!duty.controller) return;
-  duty.role_changes_before += duty.controller->role_changes();
-  duty.counters = duty.controller->counters();
+  duty.previous_role_changes += duty.controller->role_changes();
+  duty.initial_counters = duty.controller->counters();
   duty.controller.reset();
 }
 
-void ControlService::set_up_controller(const ServiceName& service, Duty& duty, Fence fence) {
+void ControlService::create_controller(const ServiceName& service, Duty& duty, Fence fence) {
   drop_controller(duty);
-  duty.controller = std::make_unique<EngineController>(fence, ControllerSettings{}, duty.counters);
+  duty.controller =
+      std::make_unique<EngineController>(fence, ControllerSettings{}, duty.initial_counters);
   duty.planner.reset();
   configure(snapshot_);
   log_event(LogArea::kControl, LogLevel::kInfo, "lease_taken",
@@ -158,21 +159,21 @@
     return;
   }
   if (!duty.controller || duty.controller->fence() != *fence) {
-    set_up_controller(service, duty, *fence);
+    create_controller(service, duty, *fence);
   }
   if (duty.controller->superseded()) return duty.lease.resign();
   plan_roles(service, duty);
   for (const ControlCommand& command : duty.controller->poll(runtime_.now())) {
     execute(service, command);
   }
-  cluster_.publish(duty.controller->facts());
+  cluster_.publish_engine_facts(duty.controller->facts());
 }
 
 void ControlService::execute(const ServiceName& service, const ControlCommand& command) {
   const EngineId engine = std::visit([](const auto& value) { return value.engine; }, command);
   const Engine* declared = snapshot_->find_engine(engine);
   const Duty& duty = duties_.at(service);
-  // Asked again right before the command leaves: time may have passed since the tick began.
+  // Checked again before sending, as the lease may have expired since the tick began.
   const auto fence = duty.lease.authority(runtime_.now());
   if (declared == nullptr || !fence) return;
   const auto handler = [this, service, fence = *fence, engine](const auto& answer) {
@@ -202,7 +203,7 @@
   EngineController& controller = *found->second.controller;
   if (controller.fence() != fence) return;
   if (answer) return controller.on_state(runtime_.now(), engine, *answer);
-  if (answer.error() == EngineCallError::kStale) return controller.on_stale(engine);
+  if (answer.error() == EngineCallError::kStale) return controller.on_stale_fence(engine);
   controller.on_no_answer(runtime_.now(), engine);
 }
 
@@ -214,8 +215,8 @@
 void ControlService::plan_roles(const ServiceName& service, Duty& duty) {
   const MonotonicTime now = runtime_.now();
   const Service* declared = snapshot_->find_service(service);
-  if (now < duty.next_plan || !allows_split(*declared)) return;
-  duty.next_plan = now + kPlanEvery;
+  if (now < duty.next_plan || !allows_disaggregation(*declared)) return;
+  duty.next_plan = now + kPlanInterval;
   if (!duty.planner) {
     PlannerSettings settings;
     settings.role_change_cost = policy_for(service).role_change_cost;
@@ -227,7 +228,7 @@
     demand.decode_tokens_per_second += report.decode_tokens_per_second;
   }
   duty.planner->observe(now, demand);
-  const auto choice = assign_roles(*duty.planner, duty.controller->lines());
+  const auto choice = assign_roles(*duty.planner, duty.controller->statuses());
   duty.plan = choice.reason;
   for (const auto& [engine, role] : choice.roles) {
     log_event(LogArea::kControl, LogLevel::kInfo, "role_wanted",
@@ -235,7 +236,7 @@
                {"engine", engine.value()},
                {"role", to_text(role)},
                {"reason", choice.reason}});
-    duty.controller->want_role(engine, role);
+    duty.controller->set_wanted_role(engine, role);
   }
 }
 
@@ -247,23 +248,23 @@
   }
 }
 
-std::vector<ControlService::DutyLine> ControlService::lines() const {
-  std::vector<DutyLine> lines;
+std::vector<ControlService::DutyStatus> ControlService::duty_statuses() const {
+  std::vector<DutyStatus> statuses;
   for (const auto& [service, duty] : duties_) {
-    DutyLine line;
-    line.service = service;
-    line.holder = duty.lease.last_seen().record.holder;
-    line.fence = duty.lease.authority(runtime_.now());
-    line.plan = duty.plan;
-    line.role_changes = duty.role_changes_before;
+    DutyStatus status;
+    status.service = service;
+    status.holder = duty.lease.last_seen().record.holder;
+    status.fence = duty.lease.authority(runtime_.now());
+    status.plan = duty.plan;
+    status.role_changes = duty.previous_role_changes;
     if (duty.controller) {
-      line.role_changes += duty.controller->role_changes();
-      line.put_off = duty.controller->put_off();
-      line.engines = duty.controller->lines();
+      status.role_changes += duty.controller->role_changes();
+      status.drain_timeouts = duty.controller->drain_timeouts();
+      status.engines = duty.controller->statuses();
     }
-    lines.push_back(std::move(line));
+    statuses.push_back(std::move(status));
   }
-  return lines;
+  return statuses;
 }
 
 }  // namespace shuntbank
--- a/src/node/control_service.hpp
+++ b/src/node/control_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Control duty of this node: leases of services, orders to their engines, plans of their roles.
+/// Control duties of this node: service leases, engine orders and role plans.
 #pragma once
 
 #include <map>
@@ -20,35 +20,35 @@
 
 namespace shuntbank {
 
-/// Runs the duties that fall to this node.
+/// Holds service leases and controls the engines of the services it holds.
 class ControlService {
  public:
   ControlService(Runtime& runtime, ObjectClient& platform, EngineClient& engines,
-                 ClusterService& cluster, RegionName region, Duration lease_length);
+                 ClusterService& cluster, RegionName region, Duration lease_duration);
 
-  /// A new configuration is in force.
+  /// Applies a new configuration.
   void configure(const SnapshotPointer& snapshot);
 
-  /// A node tells what its callers asked for.
+  /// Records the demand that a node reports.
   void on_demand(const DemandReport& report);
 
-  /// @return the member that demand of a service is sent to.
+  /// @return the member that receives demand reports of a service.
   std::optional<MemberFact> controller_of(const ServiceName& service) const;
 
-  /// Stops all duties: this node is leaving.
+  /// Gives up all leases because this node is leaving.
   void resign();
 
-  /// One duty in `status`.
-  struct DutyLine {
+  /// Status of one duty, for the operator API.
+  struct DutyStatus {
     ServiceName service;
-    NodeId holder;               ///< As last seen in the store; empty when nobody was.
-    std::optional<Fence> fence;  ///< Set while this node may act.
+    NodeId holder;               ///< As last read from the store; empty if none.
+    std::optional<Fence> fence;  ///< Set while this node holds the lease.
     std::string plan;
     std::uint64_t role_changes = 0;
-    std::uint64_t put_off = 0;
-    std::vector<EngineController::Line> engines;
+    std::uint64_t drain_timeouts = 0;
+    std::vector<EngineController::EngineStatus> engines;
   };
-  std::vector<DutyLine> lines() const;
+  std::vector<DutyStatus> duty_statuses() const;
 
  private:
   struct Duty {
@@ -60,8 +60,8 @@
     std::string plan = "none";
     MonotonicTime next_plan{};
     MonotonicTime next_standby_poll{};
-    ControlCounters counters;               ///< Of the controller before, under the same lease.
-    std::uint64_t role_changes_before = 0;  ///< Of controllers under earlier fences.
+    ControlCounters initial_counters;         ///< Carried over from the previous controller.
+    std::uint64_t previous_role_changes = 0;  ///< Made by previous controllers.
   };
 
   void tick();
@@ -70,7 +70,7 @@
   void write_lease(const ServiceName& service, const VersionedLease& lease);
   void run_controller(const ServiceName& service, Duty& duty);
   void drop_controller(Duty& duty);
-  void set_up_controller(const ServiceName& service, Duty& duty, Fence fence);
+  void create_controller(const ServiceName& service, Duty& duty, Fence fence);
   void execute(const ServiceName& service, const ControlCommand& command);
   void on_engine_answer(const ServiceName& service, Fence fence, const EngineId& engine,
                         const tl::expected<EngineState, EngineCallError>& answer);
--- a/src/node/node_server.cpp
+++ b/src/node/node_server.cpp
@@ -10,16 +10,16 @@
 namespace shuntbank {
 namespace {
 
-/// Room above the largest body that is served, so that a body somewhat too large gets a reply.
+/// Accepts bodies above the limit, so that they get an error reply instead of a closed connection.
 constexpr std::size_t kBodySlackFactor = 4;
 
 HttpServerSettings caller_server(const NodeSettings& settings) {
   HttpServerSettings server;
   server.listen = *parse_endpoint(settings.callers_listen);
   server.max_connections = settings.max_connections;
-  server.max_body = settings.max_body * kBodySlackFactor;
-  server.idle_timeout = settings.caller_idle;
-  server.write_timeout = settings.slow_reader;
+  server.max_body = settings.max_body_bytes * kBodySlackFactor;
+  server.idle_timeout = settings.caller_idle_timeout;
+  server.write_timeout = settings.caller_write_timeout;
   return server;
 }
 
--- a/src/node/operator_api.hpp
+++ b/src/node/operator_api.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The operators' interface of a node: configuration, status, health and metrics, on an address
-/// apart from callers. docs/API.md describes it.
+/// HTTP API for operators: configuration, status, health and metrics, on an address of its own.
+/// See docs/API.md.
 #pragma once
 
 #include <functional>
@@ -16,13 +16,13 @@
 
 namespace shuntbank {
 
-/// Serves operators.
+/// Handles the requests of operators.
 class OperatorApi {
  public:
-  /// @param reasons names why the node is not ready; empty text when it is.
+  /// @param not_ready_reasons returns why the node is not ready; empty if it is.
   OperatorApi(ConfigService& config, const ClusterService& cluster, const ControlService& control,
-              const ClaimService& claims, Metrics& metrics, std::function<std::string()> reasons,
-              std::function<void()> on_leave);
+              const ClaimService& claims, Metrics& metrics,
+              std::function<std::string()> not_ready_reasons, std::function<void()> on_leave);
 
   void handle(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder);
 
@@ -39,7 +39,7 @@
   const ControlService& control_;
   const ClaimService& claims_;
   Metrics& metrics_;
-  std::function<std::string()> reasons_;
+  std::function<std::string()> not_ready_reasons_;
   std::function<void()> on_leave_;
 };
 
--- a/src/node/request_queue.hpp
+++ b/src/node/request_queue.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Admission of requests on this node: tenant limits, a fair queue for each service, and a bound on
-/// the requests in flight that follows the engines which can take them.
+/// Request admission on this node: tenant limits, a fair queue per service, and a limit on requests
+/// in flight that scales with the eligible engines.
 #pragma once
 
 #include <map>
@@ -14,23 +14,23 @@
 
 namespace shuntbank {
 
-/// Holds sessions until an engine has room for them.
+/// Queues sessions until an engine has capacity for them.
 class RequestQueue {
  public:
   explicit RequestQueue(ServingContext& context);
 
-  /// Sets how many nodes share the engines and the limits.
-  void set_nodes(std::size_t nodes);
+  /// Sets the number of nodes that share the engines and limits.
+  void set_node_count(std::size_t node_count);
 
-  /// Admits, queues or refuses. The session gets its answer in any case.
+  /// Dispatches, queues or rejects a request. The responder always gets an answer.
   /// @param policy of the tenant and service; copied.
   void submit(SessionRequest request, const Policy& policy, double weight,
               std::shared_ptr<HttpResponder> responder);
 
-  /// @return requests that are dispatched or wait.
-  std::size_t open_requests() const { return open_; }
+  /// @return the number of requests queued or in flight.
+  std::size_t open_requests() const { return open_requests_; }
 
-  /// Tokens that callers asked for since the last call, by service.
+  /// Tokens requested by callers since the last call of `take_demand`.
   struct Demand {
     double prefill_tokens = 0;
     double decode_tokens = 0;
@@ -38,30 +38,32 @@
   std::map<ServiceName, Demand> take_demand();
 
  private:
-  struct Lane {
-    explicit Lane(std::size_t max_queue) : queue(max_queue) {}
+  struct ServiceQueue {
+    explicit ServiceQueue(std::size_t max_length) : queue(max_length) {}
     FairQueue queue;
     std::unordered_map<std::uint64_t, std::shared_ptr<RequestSession>> waiting;
     std::size_t in_flight = 0;
-    double hold_seconds = 1;  ///< Smoothed time that a request holds its place.
+    double mean_latency_seconds = 1;  ///< Moving average of the time in the system.
   };
 
-  Lane& lane_of(const ServiceName& service);
+  ServiceQueue& queue_for(const ServiceName& service);
   std::size_t capacity(const SessionRequest& request) const;
-  std::optional<CallerError> refusal(const Lane& lane, const SessionRequest& request,
-                                     const Policy& policy) const;
-  void enqueue(Lane& lane, const std::shared_ptr<RequestSession>& session, const QueueItem& item);
-  void pump(Lane& lane);
-  void expire();
+  std::optional<CallerError> check_admission(const ServiceQueue& service_queue,
+                                             const SessionRequest& request,
+                                             const Policy& policy) const;
+  void enqueue(ServiceQueue& service_queue, const std::shared_ptr<RequestSession>& session,
+               const QueueItem& item);
+  void dispatch_waiting(ServiceQueue& service_queue);
+  void tick();
   void on_end(const ServiceName& service, const QueueItem& item, bool admitted,
-              const SessionResult& result, MonotonicTime began);
+              const SessionResult& result, MonotonicTime submitted_at);
 
   ServingContext& context_;
   TenantLimiter limiter_;
-  std::map<ServiceName, Lane> lanes_;
+  std::map<ServiceName, ServiceQueue> service_queues_;
   std::map<ServiceName, Demand> demand_;
-  std::size_t nodes_ = 1;
-  std::size_t open_ = 0;
+  std::size_t node_count_ = 1;
+  std::size_t open_requests_ = 0;
   std::uint64_t last_id_ = 0;
   Periodic ticker_;
 };
--- a/src/protocol/usage_message.cpp
+++ b/src/protocol/usage_message.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 using usage::TenantCounts;
-using usage::ToldUsage;
+using usage::UsageCounts;
 
 constexpr char kCallMark = 'U';
 constexpr char kCountsMark = 'V';
@@ -19,7 +19,7 @@
 /// Counts per message: 1,200 bytes at 20 bytes for a count and a name of 16.
 constexpr std::size_t kCountsPerMessage = 60;
 
-std::string encode_part(const ToldUsage& whole, const json& counts, std::size_t part,
+std::string encode_part(const UsageCounts& whole, const json& counts, std::size_t part,
                         std::size_t parts) {
   return encode_marked(
       kCountsMark, {whole.node.value(), whole.boot, whole.sequence, whole.clock,
@@ -34,7 +34,7 @@
   return encode_marked(kCallMark, document);
 }
 
-std::vector<std::string> encode_parts(const ToldUsage& whole) {
+std::vector<std::string> encode_parts(const UsageCounts& whole) {
   const std::size_t parts =
       std::max<std::size_t>(1, (whole.counts.size() + kCountsPerMessage - 1) / kCountsPerMessage);
   std::vector<std::string> messages;
@@ -73,10 +73,10 @@
   }
 }
 
-tl::expected<ToldUsage, std::string> decode_usage_counts(std::string_view bytes) {
+tl::expected<UsageCounts, std::string> decode_usage_counts(std::string_view bytes) {
   try {
     const json document = decode_marked(bytes);
-    ToldUsage message;
+    UsageCounts message;
     message.node = NodeId(document.at(0).get<std::string>());
     message.boot = document.at(1).get<std::uint64_t>();
     message.sequence = document.at(2).get<std::uint64_t>();
--- a/src/protocol/usage_message.hpp
+++ b/src/protocol/usage_message.hpp
@@ -25,13 +25,13 @@
 std::string encode(const UsageCall& call);
 
 /// @return one window's counts in as many datagrams as they need. Sets `part` and `parts`.
-std::vector<std::string> encode_parts(const usage::ToldUsage& whole);
+std::vector<std::string> encode_parts(const usage::UsageCounts& whole);
 
 bool is_usage_call(std::string_view bytes);
 bool is_usage_counts(std::string_view bytes);
 
 /// @return the message, or what is wrong with the bytes.
 tl::expected<UsageCall, std::string> decode_usage_call(std::string_view bytes);
-tl::expected<usage::ToldUsage, std::string> decode_usage_counts(std::string_view bytes);
+tl::expected<usage::UsageCounts, std::string> decode_usage_counts(std::string_view bytes);
 
 }  // namespace shuntbank
--- a/src/relay/capacity_coordinator.cpp
+++ b/src/relay/capacity_coordinator.cpp
@@ -31,7 +31,7 @@
 }
 
 void CapacityCoordinator::tick() {
-  if (this->settings.planner.way == capacity::BuyingWay::kNone) return;
+  if (this->settings.planner.strategy == capacity::SpotStrategy::kNone) return;
   if (this->lease.held_for() < this->settings.takeover_delay) {
     // Another holder may have sent orders in the meantime.
     this->service_states.clear();
@@ -117,7 +117,7 @@
 void CapacityCoordinator::update_needed(const ServiceName& name, ServiceState& state,
                                         const EnginesByZone& engines) {
   const MonotonicTime now = this->runtime.now();
-  const std::uint32_t count = capacity::in_all(engines).full;
+  const std::uint32_t count = capacity::total_engines(engines).full;
   if (count > state.needed) {
     state.needed = count;
     state.increased_at = now;
@@ -180,7 +180,7 @@
                                        std::uint32_t current) const {
   const MonotonicTime now = this->runtime.now();
   const bool increase = wanted > current;
-  if (increase && !state.planner.may_ask(now, purchase)) return false;
+  if (increase && !state.planner.may_request(now, purchase)) return false;
   const auto issued = state.orders.find(purchase);
   if (issued == state.orders.end()) return wanted != current;
   if (issued->second.in_flight) return false;
@@ -224,7 +224,7 @@
   if (outcome == DutyOutcome::kDone) return;
   state->second.orders.erase(issued);
   if (outcome == DutyOutcome::kRefused) {
-    state->second.planner.on_none_there(this->runtime.now(), purchase);
+    state->second.planner.on_unavailable(this->runtime.now(), purchase);
   }
 }
 
--- a/src/relay/catalog.cpp
+++ b/src/relay/catalog.cpp
@@ -30,7 +30,7 @@
   };
   configuration.on_change = [this](const store::ObjectChange& change) {
     // If the object is deleted, the last configuration stays active.
-    if (!change.gone) apply_configuration(change.object);
+    if (!change.deleted) apply_configuration(change.object);
   };
   store::KindWatchHandlers engines;
   engines.on_list = [this](const store::ObjectList& list) { apply_engines(list); };
@@ -56,10 +56,10 @@
                                       settings_.min_backoff_limit, settings_.max_backoff_limit);
   for (const auto& watch : {configuration_.get(), engines_.get()}) {
     watch->set_wait(wait);
-    watch->set_longest_backoff(backoff);
+    watch->set_max_backoff(backoff);
   }
-  engines_->set_gather(std::clamp(settings_.batch_delay_per_node * nodes, settings_.min_batch_delay,
-                                  settings_.max_batch_delay));
+  engines_->set_batch_delay(std::clamp(settings_.batch_delay_per_node * nodes,
+                                       settings_.min_batch_delay, settings_.max_batch_delay));
 }
 
 StoreProgress Catalog::progress() const {
@@ -192,7 +192,7 @@
 }
 
 void Catalog::apply_engine_change(const store::ObjectChange& change) {
-  if (change.gone) return node_.remove_engine(change.object.name);
+  if (change.deleted) return node_.remove_engine(change.object.name);
   const auto record = codec_.engine(change.object);
   if (!record) {
     log_malformed(change.object, record.error());
--- a/src/relay/lease_keeper.cpp
+++ b/src/relay/lease_keeper.cpp
@@ -58,7 +58,7 @@
 /// fail.
 void LeaseKeeper::update_standby_interval() {
   const Fleet& fleet = node_.fleet();
-  const Duration renew_interval = settings_.lease.renew_every;
+  const Duration renew_interval = settings_.lease.renew_interval;
   const Duration read_interval =
       settings_.read_interval_per_node * static_cast<std::int64_t>(fleet.nodes);
   const bool is_standby = fleet.rank < settings_.standbys;
--- a/src/relay/policy_options.cpp
+++ b/src/relay/policy_options.cpp
@@ -40,9 +40,9 @@
       "interval between load sums of a zone's collector, in ms");
   add("stages-at-once", bind_option(settings.stages.max_batch_share),
       "maximum share of a service's engines that change stage in one batch");
-  add("buy", bind_option(settings.capacity.planner.way),
+  add("buy", bind_option(settings.capacity.planner.strategy),
       "how engines are ordered: none, spot-swap or spot-spare");
-  add("full-floor", bind_option(settings.capacity.planner.full_floor),
+  add("full-floor", bind_option(settings.capacity.planner.min_full_price_share),
       "share of the needed engines that is kept at full price");
   add("prefill-share", bind_option(settings.stages.prefill_share),
       "share of a service's engines used for prefill");
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -83,7 +83,8 @@
     }
     node_.on_configuration_adopted(
         [this](const RouteTable& table) { apply_request_limits(table); });
-    node_.on_address_released([this](const std::string& address) { http_.forget_peer(address); });
+    node_.on_address_released(
+        [this](const std::string& address) { http_.close_idle_connections(address); });
     for (const std::string& address : {addresses.ready, addresses.control, addresses.metrics}) {
       if (!address.empty()) serve_admin(loop, address, address == addresses.control);
     }
@@ -106,7 +107,7 @@
     stop_started_at_ = runtime_.now();
     node_.begin_stop();
     lease_.stop();
-    callers_.close_after_answers();
+    callers_.disable_keep_alive();
     log_event(LogArea::kProcess, LogLevel::kInfo, "stopping", {{"under_way", node_.in_flight()}});
     stop_timer_ =
         std::make_unique<Periodic>(runtime_, kStopCheckInterval, [this] { check_stopped(); });
@@ -177,7 +178,7 @@
     metrics.set_gauge("callers_rejected", static_cast<double>(callers_.stats().rejected));
     metrics.set_gauge("engine_connections_opened", static_cast<double>(http_.stats().opened));
     metrics.set_gauge("engine_surplus_answers", static_cast<double>(http_.stats().surplus_answers));
-    metrics.set_gauge("log_lines_left_out", static_cast<double>(log_lines_left_out()));
+    metrics.set_gauge("log_lines_left_out", static_cast<double>(dropped_log_lines()));
     metrics.set_gauge("configuration_age_seconds", to_seconds(catalog_.configuration_age()));
     metrics.set_gauge("engines_age_seconds", to_seconds(catalog_.engines_age()));
     if (exchange_) set_exchange_gauges(metrics);
--- a/src/relay/relay_session.cpp
+++ b/src/relay/relay_session.cpp
@@ -72,7 +72,7 @@
   if (service_ != nullptr && service_->model)
     prompt_ = context_.dialect.parse_prompt(request_.headers);
   for (const std::string& name : names.stripped_from_requests) request_.headers.remove(name);
-  request_.headers = without_hop_fields(std::move(request_.headers));
+  request_.headers = without_hop_by_hop_fields(std::move(request_.headers));
   request_.headers.remove(names.deadline_ms);
   const auto resumed = parse_integer(request_.headers.get(names.last_event_id));
   if (resumed && *resumed >= 0) progress_.resume_after(static_cast<std::uint64_t>(*resumed));
@@ -202,7 +202,7 @@
     return !context.engines.notices().refuses_requests(now, engine) &&
            context.permits.may_send(engine, permit);
   };
-  outgoing.belongs = [weak = weak_from_this()](int, const HttpHeaders& headers) {
+  outgoing.accepts_answer = [weak = weak_from_this()](int, const HttpHeaders& headers) {
     const auto self = weak.lock();
     return !self || self->is_own_answer(headers);
   };
--- a/src/relay/usage_exchange.cpp
+++ b/src/relay/usage_exchange.cpp
@@ -18,8 +18,8 @@
 usage::UsageLedgerSettings ledger_settings(const UsageSettings& settings,
                                            const usage::WindowClock& clock) {
   usage::UsageLedgerSettings ledger;
-  ledger.windows = clock;
-  ledger.kept_windows =
+  ledger.window_clock = clock;
+  ledger.retained_windows =
       static_cast<usage::WindowNumber>(whole_ms(settings.retention) / clock.length_ms) + 2;
   return ledger;
 }
@@ -46,22 +46,22 @@
 void UsageExchange::check_clock() {
   this->counter.expire(this->runtime.now());
   const usage::UnixMs jump_ms =
-      this->true_time.look(this->runtime.now(), time_of_day(this->runtime));
+      this->true_time.update(this->runtime.now(), time_of_day(this->runtime));
   if (jump_ms == 0) return;
   log_event(LogArea::kProcess, LogLevel::kWarning, "clock_jumped",
             {{"by_ms", jump_ms}, {"corrected_ms", this->true_time.correction()}});
 }
 
 usage::UnixMs UsageExchange::agreed_now() const {
-  return this->true_time.agreed(this->runtime.now());
+  return this->true_time.corrected_time(this->runtime.now());
 }
 
 usage::UnixMs UsageExchange::counting_since() const {
-  return this->bootstrap ? 0 : this->true_time.agreed(this->started_at);
+  return this->bootstrap ? 0 : this->true_time.corrected_time(this->started_at);
 }
 
 void UsageExchange::on_request_started(const TenantName& tenant) {
-  this->counter.on_began(this->runtime.now(), tenant);
+  this->counter.on_request_started(this->runtime.now(), tenant);
 }
 
 void UsageExchange::on_message(std::string_view bytes) {
@@ -76,7 +76,7 @@
 void UsageExchange::poll_nodes() {
   const MonotonicTime now = this->runtime.now();
   const std::string bytes =
-      encode(UsageCall{this->peers.own_name(), this->boot, this->true_time.take_median(now)});
+      encode(UsageCall{this->peers.own_name(), this->boot, this->true_time.apply_median(now)});
   for (const auto& [name, record] : this->peers.nodes()) {
     if (name != this->peers.own_name()) this->transport.send(record.address, bytes);
   }
@@ -88,18 +88,18 @@
 
 void UsageExchange::on_call(const UsageCall& call) {
   if (!this->peers.is_peer(call.reporter)) return;
-  if (call.true_time) this->true_time.on_agreed(this->runtime.now(), *call.true_time);
+  if (call.true_time) this->true_time.on_true_time(this->runtime.now(), *call.true_time);
   const bool reporter_changed = this->reporter != call.reporter || this->reporter_boot != call.boot;
   this->reporter = call.reporter;
   this->reporter_boot = call.boot;
   this->send_counts(reporter_changed);
 }
 
-void UsageExchange::on_counts(const usage::ToldUsage& message) {
+void UsageExchange::on_counts(const usage::UsageCounts& message) {
   if (!this->peers.is_peer(message.node)) return;
   const MonotonicTime now = this->runtime.now();
-  this->true_time.on_clock(now, message.node, message.clock);
-  this->usage_ledger.on_told(now, this->clock.at(this->agreed_now()), message);
+  this->true_time.on_peer_clock(now, message.node, message.clock);
+  this->usage_ledger.on_counts(now, this->clock.at(this->agreed_now()), message);
 }
 
 void UsageExchange::send_final_counts() {
@@ -138,20 +138,20 @@
 
 void UsageExchange::send_window(usage::WindowNumber window, const std::vector<NodeId>& targets) {
   const MonotonicTime now = this->runtime.now();
-  usage::ToldUsage own;
+  usage::UsageCounts own;
   own.node = this->peers.own_name();
   own.boot = this->boot;
   own.sequence = this->send_sequence;
-  own.clock = this->true_time.own(now);
+  own.clock = this->true_time.local_time(now);
   own.counted_until = this->agreed_now() - whole_ms(this->settings.counting_lag);
   own.counting_since = this->counting_since();
   own.window = window;
   own.counts = this->counter.counts(
-      this->clock, window, [this](MonotonicTime at) { return this->true_time.agreed(at); });
+      this->clock, window, [this](MonotonicTime at) { return this->true_time.corrected_time(at); });
   const auto messages = encode_parts(own);
   for (const NodeId& target : targets) {
     if (target == this->peers.own_name()) {
-      this->usage_ledger.on_told(now, this->clock.at(this->agreed_now()), own);
+      this->usage_ledger.on_counts(now, this->clock.at(this->agreed_now()), own);
       continue;
     }
     const PeerRecord* record = this->peers.find(target);
--- a/src/relay/usage_exchange.hpp
+++ b/src/relay/usage_exchange.hpp
@@ -44,7 +44,7 @@
   const usage::UsageLedger& ledger() const { return this->usage_ledger; }
 
   /// @return requests that were not counted because too many started at once.
-  std::uint64_t dropped_requests() const { return this->counter.left_out(); }
+  std::uint64_t dropped_requests() const { return this->counter.dropped_requests(); }
   const usage::WindowClock& window_clock() const { return this->clock; }
 
   /// @return this node's estimate of true time, in Unix milliseconds.
@@ -56,7 +56,7 @@
  private:
   void check_clock();
   void on_call(const UsageCall& call);
-  void on_counts(const usage::ToldUsage& message);
+  void on_counts(const usage::UsageCounts& message);
   void send_counts(bool all_windows);
   void send_window(usage::WindowNumber window, const std::vector<NodeId>& recipients);
   std::vector<NodeId> recipients() const;
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -15,13 +15,13 @@
 
 using nlohmann::json;
 
-constexpr Duration kLoadSampleEvery = std::chrono::milliseconds(50);
+constexpr Duration kLoadSampleInterval = std::chrono::milliseconds(50);
 
 HttpReply json_reply(int status, const json& body) {
   return {status, {{"Content-Type", "application/json"}}, body.dump()};
 }
 
-std::uint32_t read_number(std::string_view text) {
+std::uint32_t parse_number(std::string_view text) {
   std::uint32_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -29,16 +29,16 @@
 
 }  // namespace
 
-/// A completion that is being answered.
+/// A completion in flight.
 struct EngineStandin::Answer {
   RequestId request;
   AttemptId attempt;
   CompletionKind kind = CompletionKind::kChat;
-  PromptFacts facts;
+  ParsedPrompt facts;
   JobPart part = JobPart::kWhole;
   Responder responder;
-  std::string collected;  ///< Text so far, when the reply is not streamed.
-  bool stream_begun = false;
+  std::string collected;  ///< Text of a reply that is not streamed.
+  bool stream_started = false;
 };
 
 EngineStandin::EngineStandin(Runtime& runtime, const EngineStandinSettings& settings)
@@ -59,13 +59,13 @@
 void EngineStandin::sample_load() {
   const LoadReport sample = emulator_.load();
   call_after(runtime_, settings_.load_lag, [this, sample, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) lagging_load_ = sample;
+    if (!alive.expired()) reported_load_ = sample;
   });
-  load_timer_ = runtime_.after(kLoadSampleEvery, [this] { sample_load(); });
+  load_timer_ = runtime_.after(kLoadSampleInterval, [this] { sample_load(); });
 }
 
 std::string EngineStandin::load_header() const {
-  return engine_api::to_header(lagging_load_);
+  return engine_api::to_header(reported_load_);
 }
 
 void EngineStandin::handle(const HttpRequest& request, const Responder& responder) {
@@ -99,7 +99,7 @@
     return responder->respond(json_reply(200, executions_json()));
   }
   if (request.path == engine_api::kCacheEventsPath) {
-    const std::uint64_t after = read_number(request.query_value("after"));
+    const std::uint64_t after = parse_number(request.query_value("after"));
     return responder->respond(json_reply(200, cache_events_json(after)));
   }
   if (request.path == engine_api::kClaimPath && body.is_object() && body.contains("fence")) {
@@ -116,7 +116,8 @@
                {"role", to_text(order->desired.role)},
                {"accepting", order->desired.accepting},
                {"taken", verdict == OrderVerdict::kAccepted}});
-    if (emulator_.state().changing && std::exchange(faults_.crash_in_next_change, false)) {
+    if (emulator_.state().change_in_progress &&
+        std::exchange(faults_.crash_in_next_change, false)) {
       emulator_.restart(emulated_now());
     }
     run_emulator();
@@ -153,7 +154,7 @@
           ? CompletionKind::kText
           : CompletionKind::kChat;
   Findings findings;
-  answer->facts = read_prompt(answer->kind, body, findings);
+  answer->facts = parse_prompt(answer->kind, body, findings);
   if (!findings.empty()) {
     HttpReply reply = json_reply(400, {{"error", findings.to_text()}});
     reply.headers.add(engine_api::kOutcomeHeader, engine_api::kNotRun);
@@ -171,7 +172,7 @@
   job.request = answer->request;
   job.attempt = answer->attempt;
   job.model = answer->facts.model;
-  job.mark = body.value("user", "");
+  job.user = body.value("user", "");
   job.prompt_tokens = answer->facts.prompt_tokens;
   job.blocks = prefix_blocks(answer->facts.text);
   job.output_tokens = answer->facts.max_output_tokens;
@@ -186,7 +187,7 @@
   const SubmitResult result = emulator_.submit(emulated_now(), job);
   if (result != SubmitResult::kAccepted) return refuse(answer->responder, to_text(result));
   if (faults_.drop_after_accept) {
-    // Half a reply: the status line promises a body that never ends properly.
+    // A truncated reply: a successful status and a stream without its end marker.
     answer->responder->begin_stream(200, {{"Content-Type", "text/event-stream"}});
     answer->responder->finish();
     return;
@@ -209,7 +210,7 @@
   const auto next = emulator_.next_time();
   if (!next) return;
   const double seconds = to_seconds(*next - emulated_now()) / settings_.time_scale;
-  // Rounded up, so that the step is surely over when the call comes.
+  // Rounded up, so that the step has ended when the timer fires.
   const Duration delay = from_seconds(std::max(0.0, seconds)) + Duration(1);
   timer_ = runtime_.after(delay, [this] { run_emulator(); });
 }
@@ -229,10 +230,10 @@
     case EngineEvent::Kind::kFinished:
       answers_.erase(event.attempt);
       return finish(*answer);
-    case EngineEvent::Kind::kCut:
+    case EngineEvent::Kind::kInterrupted:
       answers_.erase(event.attempt);
-      // A stream without its end marker, or an error without a word on the outcome.
-      if (answer->stream_begun) return answer->responder->finish();
+      // A stream without its end marker, or an error without an outcome header.
+      if (answer->stream_started) return answer->responder->finish();
       return answer->responder->respond(json_reply(500, {{"error", "cut"}}));
   }
 }
@@ -262,7 +263,7 @@
     answer.collected += text;
     return;
   }
-  if (!std::exchange(answer.stream_begun, true)) {
+  if (!std::exchange(answer.stream_started, true)) {
     answer.responder->begin_stream(200, {{"Content-Type", "text/event-stream"},
                                          {engine_api::kAttemptIdHeader, answer.attempt.value()},
                                          {engine_api::kLoadHeader, load_header()}});
@@ -289,17 +290,17 @@
                             "\ndata: [DONE]\n\n");
     return answer.responder->finish();
   }
-  json whole = chunk_json(answer.kind, answer.request, answer.facts.model);
+  json completion_json = chunk_json(answer.kind, answer.request, answer.facts.model);
   json choice{{"index", 0}, {"finish_reason", "length"}};
   if (answer.kind == CompletionKind::kChat) {
-    whole["object"] = "chat.completion";
+    completion_json["object"] = "chat.completion";
     choice["message"] = {{"role", "assistant"}, {"content", answer.collected}};
   } else {
     choice["text"] = answer.collected;
   }
-  whole["choices"] = json::array({choice});
-  whole["usage"] = usage;
-  HttpReply reply = json_reply(200, whole);
+  completion_json["choices"] = json::array({choice});
+  completion_json["usage"] = usage;
+  HttpReply reply = json_reply(200, completion_json);
   reply.headers.add(engine_api::kAttemptIdHeader, answer.attempt.value());
   reply.headers.add(engine_api::kLoadHeader, load_header());
   answer.responder->respond(std::move(reply));
@@ -310,8 +311,9 @@
   const AttemptId attempt(std::string(request.headers.get(engine_api::kAttemptIdHeader)));
   const MonotonicTime now = emulated_now();
   plain_executions_.push_back({id, attempt, "", now, now, Execution::End::kFinished});
-  const std::string echoed = sha256_hex(request.method + " " + request.path + "\n" + request.body);
-  HttpReply reply = json_reply(200, {{"path", request.path}, {"sha256", echoed}});
+  const std::string request_hash =
+      sha256_hex(request.method + " " + request.path + "\n" + request.body);
+  HttpReply reply = json_reply(200, {{"path", request.path}, {"sha256", request_hash}});
   reply.headers.add(engine_api::kAttemptIdHeader, attempt.value());
   reply.headers.add(engine_api::kLoadHeader, load_header());
   call_after(runtime_, settings_.plain_service_time,
@@ -337,7 +339,7 @@
   }
   return {{"executions", std::move(list)},
           {"orders", std::move(orders)},
-          {"cut_by_change", emulator_.cut_by_change()},
+          {"cut_by_change", emulator_.interrupted_by_change()},
           {"role_changes", emulator_.role_changes()}};
 }
 
--- a/tests/core/relay/routes_test.cpp
+++ b/tests/core/relay/routes_test.cpp
@@ -77,8 +77,8 @@
   RelayedService service;
   service.name = ServiceName("s");
   service.scale.emplace();
-  service.scale->least = 5;
-  service.scale->most = 4;
+  service.scale->min = 5;
+  service.scale->max = 4;
   configuration.services = {service};
   const TenantKey key{"ab12", std::nullopt};
   configuration.tenants = {{TenantName("guild"), {key}, std::nullopt},
--- a/tests/platform/ledger_test.cpp
+++ b/tests/platform/ledger_test.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-SentByCaller once(const std::string& id) {
+SentRequest once(const std::string& id) {
   return {id, "POST", "/once/", "body", "plain", false, 0};
 }
 
-SentByCaller stream(const std::string& id) {
+SentRequest stream(const std::string& id) {
   return {id, "POST", "/stream/", "body", "model", true, 3};
 }
 
 struct LedgerFixture {
   LedgerFixture() {
-    this->ledger.sent(once("a"));
-    this->ledger.sent(once("b"));
-    this->ledger.sent(stream("s"));
+    this->ledger.on_sent(once("a"));
+    this->ledger.on_sent(once("b"));
+    this->ledger.on_sent(stream("s"));
   }
   void run(const std::string& id) {
-    const SentByCaller& request = *this->ledger.find(id);
-    this->ledger.arrived(id, request.service, false);
-    this->ledger.runs(id, request.service, request.method, request.target, request.body);
+    const SentRequest& request = *this->ledger.find(id);
+    this->ledger.on_arrival(id, request.service, false);
+    this->ledger.on_run(id, request.service, request.method, request.target, request.body);
   }
   bool only_violation_is(const std::string& rule) const {
-    const auto& violations = this->ledger.broken();
+    const auto& violations = this->ledger.violations();
     return violations.size() == 1 && violations[0].rule == rule;
   }
   Ledger ledger{{0.2, 3, std::chrono::seconds(10)}};
@@ -38,15 +38,15 @@
 Test(ledger, accepts_a_run_without_violations) {
   LedgerFixture fixture;
   fixture.run("a");
-  const std::string seal = fixture.ledger.answers({"a", 200, "text"});
-  fixture.ledger.got_answer("a", 200, seal, "text");
-  fixture.ledger.got_answer("b", 503, "", "");
+  const std::string seal = fixture.ledger.seal_answer({"a", 200, "text"});
+  fixture.ledger.on_answer_received("a", 200, seal, "text");
+  fixture.ledger.on_answer_received("b", 503, "", "");
   fixture.run("s");
   for (std::uint64_t i = 1; i <= 3; ++i) {
-    fixture.ledger.got_event("s", i, Ledger::event_text("s", i));
+    fixture.ledger.on_event_received("s", i, Ledger::event_text("s", i));
   }
-  fixture.ledger.got_stream_end("s", 3);
-  cr_assert(fixture.ledger.broken().empty());
+  fixture.ledger.on_stream_end_received("s", 3);
+  cr_assert(fixture.ledger.violations().empty());
 }
 
 Test(ledger, finds_a_request_that_ran_twice) {
@@ -59,10 +59,10 @@
 Test(ledger, finds_a_refused_request_that_ran) {
   LedgerFixture before;
   before.run("a");
-  before.ledger.got_answer("a", 503, "", "");
+  before.ledger.on_answer_received("a", 503, "", "");
   cr_assert(before.only_violation_is("REFUSED"));
   LedgerFixture after;
-  after.ledger.got_answer("a", 503, "", "");
+  after.ledger.on_answer_received("a", 503, "", "");
   after.run("a");
   cr_assert(after.only_violation_is("REFUSED"));
 }
@@ -71,63 +71,63 @@
   const std::vector<std::pair<std::string, std::string>> wrong = {{"b", "text"}, {"a", "other"}};
   for (const auto& [id, body] : wrong) {
     LedgerFixture fixture;
-    const std::string seal = fixture.ledger.answers({"a", 200, "text"});
-    fixture.ledger.got_answer(id, 200, seal, body);
-    cr_assert_not(fixture.ledger.broken().empty());
-    cr_assert_eq(fixture.ledger.broken()[0].rule, "MIXED");
+    const std::string seal = fixture.ledger.seal_answer({"a", 200, "text"});
+    fixture.ledger.on_answer_received(id, 200, seal, body);
+    cr_assert_not(fixture.ledger.violations().empty());
+    cr_assert_eq(fixture.ledger.violations()[0].rule, "MIXED");
   }
   LedgerFixture unsealed;
-  unsealed.ledger.got_answer("a", 200, "", "text");
+  unsealed.ledger.on_answer_received("a", 200, "", "text");
   cr_assert(unsealed.only_violation_is("MIXED"));
   LedgerFixture handle;
-  handle.ledger.made_handle("h", "a");
-  handle.ledger.took_handle("h", "b");
+  handle.ledger.on_handle_created("h", "a");
+  handle.ledger.on_handle_used("h", "b");
   cr_assert(handle.only_violation_is("MIXED"));
 }
 
 Test(ledger, finds_streams_with_gaps_and_false_ends) {
   LedgerFixture gap;
-  gap.ledger.got_event("s", 1, Ledger::event_text("s", 2));
+  gap.ledger.on_event_received("s", 1, Ledger::event_text("s", 2));
   cr_assert(gap.only_violation_is("ORDER"));
   LedgerFixture end;
-  end.ledger.got_stream_end("s", 2);
+  end.ledger.on_stream_end_received("s", 2);
   cr_assert(end.only_violation_is("ORDER"));
 }
 
 Test(ledger, finds_unrequested_and_misrouted_executions) {
   LedgerFixture unknown;
-  unknown.ledger.runs("x", "plain", "POST", "/once/", "body");
+  unknown.ledger.on_run("x", "plain", "POST", "/once/", "body");
   cr_assert(unknown.only_violation_is("UNASKED"));
   LedgerFixture changed;
-  changed.ledger.runs("a", "plain", "POST", "/once/", "other body");
+  changed.ledger.on_run("a", "plain", "POST", "/once/", "other body");
   cr_assert(changed.only_violation_is("UNASKED"));
   LedgerFixture elsewhere;
-  elsewhere.ledger.runs("a", "model", "POST", "/once/", "body");
+  elsewhere.ledger.on_run("a", "model", "POST", "/once/", "body");
   cr_assert(elsewhere.only_violation_is("ROUTE"));
 }
 
 Test(ledger, finds_two_machines_under_one_fence) {
   LedgerFixture fixture;
-  fixture.ledger.ordered("e", "n1/abc", 4);
-  fixture.ledger.ordered("e", "n1/def", 4);
-  cr_assert(fixture.ledger.broken().empty(), "the same machine after a restart");
-  fixture.ledger.ordered("e", "n2/abc", 4);
+  fixture.ledger.on_order("e", "n1/abc", 4);
+  fixture.ledger.on_order("e", "n1/def", 4);
+  cr_assert(fixture.ledger.violations().empty(), "the same machine after a restart");
+  fixture.ledger.on_order("e", "n2/abc", 4);
   cr_assert(fixture.only_violation_is("ONE"));
 }
 
 Test(ledger, finds_retries_beyond_the_bound) {
   LedgerFixture fixture;
-  for (int i = 0; i < 4; ++i) fixture.ledger.arrived("s", "model", false);
-  cr_assert(fixture.ledger.broken().empty(), "three retries of one request");
-  fixture.ledger.arrived("s", "model", false);
+  for (int i = 0; i < 4; ++i) fixture.ledger.on_arrival("s", "model", false);
+  cr_assert(fixture.ledger.violations().empty(), "three retries of one request");
+  fixture.ledger.on_arrival("s", "model", false);
   cr_assert(fixture.only_violation_is("BUDGET"));
 }
 
 Test(ledger, does_not_count_the_first_remote_prefill_as_a_retry) {
   LedgerFixture fixture;
-  fixture.ledger.arrived("s", "model", true);
-  for (int i = 0; i < 4; ++i) fixture.ledger.arrived("s", "model", false);
-  cr_assert(fixture.ledger.broken().empty(), "three retries of one request");
-  fixture.ledger.arrived("s", "model", true);
+  fixture.ledger.on_arrival("s", "model", true);
+  for (int i = 0; i < 4; ++i) fixture.ledger.on_arrival("s", "model", false);
+  cr_assert(fixture.ledger.violations().empty(), "three retries of one request");
+  fixture.ledger.on_arrival("s", "model", true);
   cr_assert(fixture.only_violation_is("BUDGET"), "a second remote prefill");
 }
--- a/tests/protocol/usage_message_test.cpp
+++ b/tests/protocol/usage_message_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-usage::ToldUsage window_counts(int tenants) {
-  usage::ToldUsage message;
+usage::UsageCounts window_counts(int tenants) {
+  usage::UsageCounts message;
   message.node = NodeId("n1");
   message.boot = 0xFFFFFFFFFFULL;
   message.sequence = 9;
@@ -25,7 +25,7 @@
 
 Test(usage_message, parts_fit_into_datagrams_and_hold_every_count_once) {
   for (const int tenants : {0, 1, 59, 60, 61, 400}) {
-    const usage::ToldUsage whole = window_counts(tenants);
+    const usage::UsageCounts whole = window_counts(tenants);
     usage::TenantCounts sum;
     const auto messages = encode_parts(whole);
     for (const std::string& bytes : messages) {
--- a/tests/relay/relay_session_test.cpp
+++ b/tests/relay/relay_session_test.cpp
@@ -115,7 +115,7 @@
   RelayFixture site;
   site.add_engine("e1", "plain");
   site.request("/once/a");
-  const auto& belongs = site.http.at(0).request.belongs;
+  const auto& belongs = site.http.at(0).request.accepts_answer;
   cr_assert(belongs(200, RelayFixture::sealed_headers("r1")));
   cr_assert_not(belongs(200, RelayFixture::sealed_headers("r0")));
 }
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -223,7 +223,7 @@
     link->start_transfer(
         call, objects * object_bytes, answer_delay,
         [this, begun, handler = std::move(handler), value = std::move(value)]() mutable {
-          if (value) value->transfer = runtime_.now() - begun;
+          if (value) value->transfer_time = runtime_.now() - begun;
           handler(std::move(value));
         });
   }
--- a/tests/relay/support/slow_link.hpp
+++ b/tests/relay/support/slow_link.hpp
@@ -18,7 +18,7 @@
       : runtime_(runtime), bytes_per_second_(bytes_per_second) {}
 
   /// Starts a transfer after `delay`.
-  /// @param on_whole called once all bytes are transferred, never before this returns.
+  /// @param on_complete called once all bytes are transferred, never before this returns.
   void start_transfer(std::uint64_t id, std::size_t bytes, Duration delay,
                       std::function<void()> on_complete);
 
