--- a/src/core/relay/engine_limit.hpp
+++ b/src/core/relay/engine_limit.hpp
@@ -70,13 +70,13 @@
   bool any_limited() const { return this->limited_count > 0; }
 
  private:
-  struct Known {
+  struct EngineLimitState {
     ObservedLimit limit;
     MonotonicTime next_permit{};
   };
   void expire(MonotonicTime now);
 
-  std::unordered_map<EngineId, Known> engines;
+  std::unordered_map<EngineId, EngineLimitState> engines;
   std::size_t limited_count = 0;
 };
 
--- a/src/core/relay/engine_model.cpp
+++ b/src/core/relay/engine_model.cpp
@@ -114,9 +114,9 @@
   return this->fetch_setup.value_or(kDefaultFetchSetupMs);
 }
 
-void EngineModel::on_fetch(std::uint64_t uncached_tokens, double move_ms, Duration took) {
+void EngineModel::on_fetch(std::uint64_t uncached_tokens, double transfer_ms, Duration took) {
   const double prefill = this->prefill_model.prefill_ms(static_cast<double>(uncached_tokens));
-  this->fetch_setup.observe(std::max(0.0, to_ms(took) - prefill - move_ms));
+  this->fetch_setup.observe(std::max(0.0, to_ms(took) - prefill - transfer_ms));
 }
 
 double EngineModel::unloaded_event_interval_ms() const {
--- a/src/core/relay/engine_model.hpp
+++ b/src/core/relay/engine_model.hpp
@@ -77,7 +77,7 @@
   /// @return milliseconds that fetching parts from another engine takes, excluding the transfer.
   double fetch_setup_ms() const;
   /// Learns from a prefill at an idle engine that fetched parts first.
-  void on_fetch(std::uint64_t uncached_tokens, double move_ms, Duration took);
+  void on_fetch(std::uint64_t uncached_tokens, double transfer_ms, Duration took);
 
   /// @return milliseconds between the events of a stream at an unloaded engine, or 0 if unknown.
   double unloaded_event_interval_ms() const;
--- a/src/core/relay/load_collector.cpp
+++ b/src/core/relay/load_collector.cpp
@@ -12,7 +12,7 @@
 }
 
 bool LoadCollector::on_zone_load(MonotonicTime now, const ZoneLoad& report) {
-  SumsByCollector& sums = this->zones[report.zone];
+  SumsByCollector& sums = this->other_zone_sums[report.zone];
   Sum& sum = sums[report.collector];
   // Parts of one sum share its number.
   if (report.number != sum.number && !report.number.follows(sum.number)) return false;
@@ -31,8 +31,8 @@
     return now - entry.second.received_at > this->settings.member_timeout;
   };
   std::erase_if(this->members, expired);
-  for (auto& [zone, sums] : this->zones) std::erase_if(sums, expired);
-  std::erase_if(this->zones, [](const auto& entry) { return entry.second.empty(); });
+  for (auto& [zone, sums] : this->other_zone_sums) std::erase_if(sums, expired);
+  std::erase_if(this->other_zone_sums, [](const auto& entry) { return entry.second.empty(); });
 }
 
 /// Prefers fresh sums, then the sum of the most nodes.
@@ -57,7 +57,7 @@
 
 std::vector<const LoadCollector::Sum*> LoadCollector::selected_sums(MonotonicTime now) const {
   std::vector<const Sum*> sums;
-  for (const auto& [zone, by_collector] : this->zones) {
+  for (const auto& [zone, by_collector] : this->other_zone_sums) {
     if (const SelectedSum source = this->select_sum(now, by_collector))
       sums.push_back(&(*source)->second);
   }
@@ -87,8 +87,8 @@
 std::vector<NodeId> LoadCollector::active_collectors(MonotonicTime now,
                                                      const ZoneName& zone) const {
   std::vector<NodeId> nodes;
-  const auto found = this->zones.find(zone);
-  if (found == this->zones.end()) return nodes;
+  const auto found = this->other_zone_sums.find(zone);
+  if (found == this->other_zone_sums.end()) return nodes;
   for (const auto& [collector, sum] : found->second) {
     if (now - sum.received_at <= this->settings.max_sum_age) nodes.push_back(collector);
   }
--- a/src/core/relay/load_collector.hpp
+++ b/src/core/relay/load_collector.hpp
@@ -111,7 +111,7 @@
 
   LoadCollectorSettings settings;
   std::map<NodeId, Member> members;
-  std::map<ZoneName, SumsByCollector> zones;
+  std::map<ZoneName, SumsByCollector> other_zone_sums;
 };
 
 }  // namespace shuntbank::relay
--- a/src/relay/capacity_coordinator.cpp
+++ b/src/relay/capacity_coordinator.cpp
@@ -11,13 +11,13 @@
 using capacity::Purchase;
 
 CapacityCoordinator::CapacityCoordinator(Runtime& own_runtime, store::ObjectStore& own_store,
-                                         LeaseKeeper& own_lease, DutyService& own_service,
+                                         LeaseKeeper& own_lease, DutyService& own_duty_service,
                                          RelayNode& own_node, const std::string& own_machine,
                                          const CapacityCoordinatorSettings& own_settings)
     : runtime(own_runtime),
       store(own_store),
       lease(own_lease),
-      duty_service(own_service),
+      duty_service(own_duty_service),
       node(own_node),
       machine(own_machine),
       settings(own_settings) {
--- a/src/relay/engine_listener.cpp
+++ b/src/relay/engine_listener.cpp
@@ -92,9 +92,9 @@
   if (this->limit_handler) this->limit_handler({engine, observed});
 }
 
-void EngineListener::on_peer_limit(const LimitUpdate& news) {
-  if (!this->io.engines.on_limit(news.engine, news.limit)) return;
-  log_limit(news.engine, news.limit, this->io.runtime.now(), "node", {});
+void EngineListener::on_peer_limit(const LimitUpdate& update) {
+  if (!this->io.engines.on_limit(update.engine, update.limit)) return;
+  log_limit(update.engine, update.limit, this->io.runtime.now(), "node", {});
 }
 
 }  // namespace shuntbank::relay
--- a/src/relay/engine_listener.hpp
+++ b/src/relay/engine_listener.hpp
@@ -44,7 +44,7 @@
   void on_draining(const EngineId& engine, std::string_view request = {});
 
   /// Another node has received a limit from an engine.
-  void on_peer_limit(const LimitUpdate& news);
+  void on_peer_limit(const LimitUpdate& update);
 
   /// Another node reports trouble with an engine.
   void on_peer_trouble(const EngineTrouble& trouble);
--- a/src/relay/load_exchange.cpp
+++ b/src/relay/load_exchange.cpp
@@ -186,8 +186,8 @@
   message.load = node_.engines().own_load();
   message.reads = node_.take_prompt_reads();
   message.troubles = node_.take_troubles();
-  for (const LimitUpdate& news : node_.take_limit_updates()) {
-    message.limits.push_back({news.engine, to_report(news.limit, runtime_.now())});
+  for (const LimitUpdate& update : node_.take_limit_updates()) {
+    message.limits.push_back({update.engine, to_report(update.limit, runtime_.now())});
   }
   message.crashes = node_.quarantine().take_reports();
   if (!own_progress_) return message;
@@ -261,7 +261,8 @@
   for (const EngineTrouble& trouble : message.troubles) {
     node_.listener().on_peer_trouble(trouble);
   }
-  for (const EngineLimitReport& news : message.limits) node_.on_peer_limit(news.engine, news.limit);
+  for (const EngineLimitReport& report : message.limits)
+    node_.on_peer_limit(report.engine, report.limit);
   node_.quarantine().on_peer_reports(message.crashes);
   if (on_revisions_) on_revisions_(message.revisions);
   for (const PromptRead& read : message.reads) node_.on_peer_prompt_read(read);
--- a/src/relay/relay_context.cpp
+++ b/src/relay/relay_context.cpp
@@ -29,9 +29,9 @@
   if (view != nullptr) view->terminated = false;
 }
 
-void RelayContext::queue_limit_update(const LimitUpdate& news) {
+void RelayContext::queue_limit_update(const LimitUpdate& update) {
   if (!load_changed) return;
-  pending_limit_updates.push_back(news);
+  pending_limit_updates.push_back(update);
   notify_load_changed();
 }
 
--- a/src/relay/relay_context.hpp
+++ b/src/relay/relay_context.hpp
@@ -44,7 +44,7 @@
   void queue_trouble(const EngineTrouble& trouble);
 
   /// Queues a changed engine limit for the other nodes.
-  void queue_limit_update(const LimitUpdate& news);
+  void queue_limit_update(const LimitUpdate& update);
 
   /// The engine's address refuses connections: the engine process has terminated.
   void on_engine_terminated(const EngineId& engine);
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -40,7 +40,7 @@
       slack_available_from_(io.runtime.now() + charge_duration(settings.retry_budget)) {
   quarantine_.on_reports_pending([this] { context_.notify_load_changed(); });
   listener_.on_limit_changed(
-      [this](const LimitUpdate& news) { context_.queue_limit_update(news); });
+      [this](const LimitUpdate& update) { context_.queue_limit_update(update); });
   listener_.on_trouble([this](const EngineTrouble& trouble) { context_.queue_trouble(trouble); });
 }
 
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -97,14 +97,15 @@
   // Guards against a fixed bonus for the home, which lets queues build up at fast engines.
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
-  const double shared_ms = 12000 * fleet.engines.model_of(fleet.service.name).prefill().token_ms();
+  const double shared_prefill_ms =
+      12000 * fleet.engines.model_of(fleet.service.name).prefill().token_ms();
   const auto tokens_of = [&](double ms) {
     return static_cast<std::uint64_t>(
         ms / fleet.engines.model_of(fleet.service.name).prefill().token_ms());
   };
-  fleet.engines.on_attempt_sent(home, {tokens_of(shared_ms), false});
+  fleet.engines.on_attempt_sent(home, {tokens_of(shared_prefill_ms), false});
   cr_assert_eq(fleet.choose()->engine, home);
-  fleet.engines.on_attempt_sent(home, {tokens_of(2 * shared_ms), false});
+  fleet.engines.on_attempt_sent(home, {tokens_of(2 * shared_prefill_ms), false});
   cr_assert_neq(fleet.choose()->engine, home);
 }
 
--- a/tests/core/relay/routes_test.cpp
+++ b/tests/core/relay/routes_test.cpp
@@ -62,11 +62,11 @@
       total += weights[i];
     }
     SplitChooser chooser(*rc::gen::inRange(0, 100) / 100.0);
-    std::map<ServiceName, double> choices;
+    std::map<ServiceName, double> counts;
     for (int n = 1; n <= 300; ++n) {
-      ++choices[chooser.choose(split)];
+      ++counts[chooser.choose(split)];
       for (const SplitPart& part : split.split) {
-        RC_ASSERT(std::abs(choices[part.service] - n * part.weight / total) <= 4);
+        RC_ASSERT(std::abs(counts[part.service] - n * part.weight / total) <= 4);
       }
     }
   });
--- a/tests/relay/capacity_coordinator_test.cpp
+++ b/tests/relay/capacity_coordinator_test.cpp
@@ -178,16 +178,17 @@
   std::uint32_t before = 0;
   for (int second = 0; second < 20; ++second) {
     fixture.site.runtime.advance(1s);
-    std::uint32_t bought = 0;
+    std::uint32_t total_ordered = 0;
     for (const char* zone : {"z1", "z2", "z3"}) {
       const std::uint32_t ordered = fixture.duty_service.last_ordered(zone, true).value_or(0);
       for (std::uint32_t i = 0; i < ordered; ++i) {
         fixture.add("s" + std::to_string(i) + zone, zone, true);
       }
-      bought += ordered;
+      total_ordered += ordered;
     }
-    cr_assert_leq(bought, before + 80, "second %d: from %u to %u", second, before, bought);
-    before = bought;
+    cr_assert_leq(total_ordered, before + 80, "second %d: from %u to %u", second, before,
+                  total_ordered);
+    before = total_ordered;
   }
   cr_assert_geq(before, 400, "progress within 20 s");
 }
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -154,7 +154,7 @@
 }
 
 Test(load_exchange, message_rate_is_bounded_for_any_fleet_size) {
-  int most = 0;
+  int max_messages = 0;
   for (const std::size_t nodes : {6U, 17U, 60U}) {
     ExchangingFleet fleet(nodes);
     fleet.runtime.advance(3s);
@@ -164,9 +164,9 @@
       fleet.sites[0]->node->notify_load_changed();
       fleet.runtime.advance(1ms);
     }
-    most = std::max(most, fleet.transports[0]->sent - before);
+    max_messages = std::max(max_messages, fleet.transports[0]->sent - before);
   }
-  cr_assert_leq(most, 1100, "in one second of constant change: %d", most);
+  cr_assert_leq(max_messages, 1100, "in one second of constant change: %d", max_messages);
 }
 
 Test(load_exchange, joining_node_receives_cache_snapshot) {
--- a/tests/relay/usage_reporter_test.cpp
+++ b/tests/relay/usage_reporter_test.cpp
@@ -137,7 +137,8 @@
     for (Duration passed{}; passed < duration; passed += 100ms) {
       for (const auto& machine : machines) {
         if (machine)
-          machine->exchange->on_request_started(TenantName("guild")), ++started[true_ms() / 5000];
+          machine->exchange->on_request_started(TenantName("guild")),
+              ++requests_by_window[true_ms() / 5000];
       }
       runtime.advance(100ms);
     }
@@ -168,7 +169,7 @@
     const auto reports = duties.accepted.find(static_cast<usage::WindowNumber>(window));
     if (reports == duties.accepted.end()) return 1;
     const double reported = static_cast<double>(usage::total(reports->second.front()));
-    const double actual = static_cast<double>(started.at(window));
+    const double actual = static_cast<double>(requests_by_window.at(window));
     return std::abs(reported - actual) / actual;
   }
 
@@ -177,7 +178,8 @@
   MockNetwork network;
   FakeDutyService duties{runtime};
   std::vector<std::unique_ptr<Machine>> machines;
-  std::map<std::int64_t, std::uint64_t> started;  ///< By window of true time.
+  std::map<std::int64_t, std::uint64_t>
+      requests_by_window;  ///< Started requests, by window of true time.
 };
 
 }  // namespace
