--- a/src/core/relay/catalog_revisions.hpp
+++ b/src/core/relay/catalog_revisions.hpp
@@ -22,7 +22,8 @@
   MonotonicTime confirmed_at{};  ///< When the store last confirmed `seen` as the newest.
 };
 
-/// What one node knows of the store readers.
+/// What one node knows of the store readers: the few nodes that read the newest store state. The
+/// others accept stale reads.
 struct StoreReaders {
   bool self = false;             ///< This node is a store reader.
   MonotonicTime confirmed_at{};  ///< When the store last confirmed the state to any reader.
--- a/src/core/relay/collector_choice.hpp
+++ b/src/core/relay/collector_choice.hpp
@@ -60,12 +60,12 @@
   /// any.
   std::optional<NodeId> poll(MonotonicTime now);
 
-  /// @return whether to request the view again.
+  /// @return whether to request the fleet's load view again: the last one is too old.
   bool should_request_view(MonotonicTime now) const {
     return this->current && now - this->last_view_at > this->settings.view_request_interval;
   }
 
-  /// @return the collector that this node requests the view from, if any.
+  /// @return the collector that this node receives the fleet's load view from, if any.
   const std::optional<NodeId>& source() const { return this->current; }
 
   /// @return the collectors to report this node's load to, the source first.
--- a/src/core/relay/crash_ledger.hpp
+++ b/src/core/relay/crash_ledger.hpp
@@ -42,9 +42,11 @@
 
 /// Whether a request is suspected of crashing engines, and whether it is quarantined.
 struct SuspectStatus {
-  std::size_t interruptions = 0;  ///< Engines that interrupted it and may have crashed.
-  std::size_t crashes = 0;        ///< Those of `interruptions` that are known to have crashed.
-  bool in_flight = false;         ///< An engine is running it now.
+  /// Engines that may have crashed while they ran it: the connection broke, or the engine stopped
+  /// responding and is known to have crashed.
+  std::size_t interruptions = 0;
+  std::size_t crashes = 0;  ///< Those of `interruptions` that are known to have crashed.
+  bool in_flight = false;   ///< An engine is running it now.
   std::optional<Duration> quarantine_left;  ///< Set while it is quarantined.
 
   /// @return whether an engine may have crashed while running it.
--- a/src/core/relay/engine_model.hpp
+++ b/src/core/relay/engine_model.hpp
@@ -74,9 +74,12 @@
   /// @param deferred it may have been queued, and counts only if it was faster than usual.
   void on_handover(Duration took, bool deferred);
 
-  /// @return milliseconds that fetching parts from another engine takes, excluding the transfer.
+  /// @return milliseconds that fetching the KV cache of prompt parts from another engine takes,
+  /// excluding the transfer.
   double fetch_setup_ms() const;
-  /// Learns from a prefill at an idle engine that fetched parts first.
+  /// Learns from a prefill at an idle engine that first fetched the KV cache of prompt parts from
+  /// another engine.
+  /// @param transfer_ms estimated transfer time, in milliseconds; excluded from the learned value.
   void on_fetch(std::uint64_t uncached_tokens, double transfer_ms, Duration took);
 
   /// @return milliseconds between the events of a stream at an unloaded engine, or 0 if unknown.
--- a/src/core/relay/keeper_choice.hpp
+++ b/src/core/relay/keeper_choice.hpp
@@ -47,8 +47,8 @@
   /// Records that any message came from the node.
   void on_message_received(const NodeId& node) { this->pending_replies.erase(node); }
 
-  /// @return the nodes due for a probe, of those ranked before this node up to the first responsive
-  /// one.
+  /// @return the nodes to probe now. Candidates are the nodes ranked before this one, up to and
+  /// including the first that responds; each is returned once its probe interval has passed.
   std::vector<NodeId> nodes_to_probe(MonotonicTime now, const EngineId& engine);
 
  private:
--- a/src/core/relay/load_collector.hpp
+++ b/src/core/relay/load_collector.hpp
@@ -106,7 +106,7 @@
 
   SelectedSum select_sum(MonotonicTime now, const SumsByCollector& sums) const;
 
-  /// @return the selected sum of each other zone.
+  /// @return for each other zone, the sum of the collector selected for it, if any.
   std::vector<const Sum*> selected_sums(MonotonicTime now) const;
 
   LoadCollectorSettings settings;
--- a/src/core/relay/retry_budget.hpp
+++ b/src/core/relay/retry_budget.hpp
@@ -29,7 +29,8 @@
   return settings.window + settings.window / kArrivalMarginDivisor;
 }
 
-/// One node's share of the slack.
+/// One node's share of `RetryBudgetSettings::slack`, the fixed allowance of extra dispatches per
+/// window on top of the ratio.
 struct SlackShare {
   double dispatches = 0;       ///< Extra dispatches in any window.
   MonotonicTime valid_from{};  ///< Zero before this time.
@@ -38,7 +39,7 @@
 };
 
 /// One node's share of the budget of one service. In each window it spends at most the ratio times
-/// half of its own requests in that window and the one before it, and its share of the slack.
+/// half of its own requests in that window and the one before it, plus its share of the slack.
 ///
 /// The mean of two windows adds up over nodes: together they stay within the mean of the fleet,
 /// which is at most its larger window. The larger window of each node does not add up, as nodes
--- a/src/relay/engine_permits.cpp
+++ b/src/relay/engine_permits.cpp
@@ -69,7 +69,7 @@
   for (auto& [engine, state] : this->limit_states) state.owner_since.reset();
 }
 
-/// Updates the ownership of limits and probes nodes that precede the current owner.
+/// Updates the ownership of limits and probes nodes that rank before this one as owners.
 void EnginePermits::update_ownership() {
   const MonotonicTime now = this->io.runtime.now();
   std::erase_if(this->limit_states,
--- a/src/relay/exchange_settings.hpp
+++ b/src/relay/exchange_settings.hpp
@@ -13,7 +13,7 @@
 
 /// Settings of the list of nodes.
 struct PeerDirectorySettings {
-  std::string kind = "shuntbank-nodes";  ///< Store kind of the node records.
+  std::string kind = "shuntbank-nodes";  ///< Kind of the store objects with the node records.
   /// Delay before the first list, so that it includes nodes that start at the same time.
   Duration initial_list_delay = std::chrono::milliseconds(1500);
 };
--- a/src/relay/lease_keeper.hpp
+++ b/src/relay/lease_keeper.hpp
@@ -22,7 +22,7 @@
   std::string name = "roles";
 };
 
-/// Acquires and renews the lease for this node.
+/// Acquires and renews the lease that permits this node to perform the tasks for the whole fleet.
 class LeaseKeeper {
  public:
   /// All references must outlive this object.
--- a/src/relay/load_exchange.hpp
+++ b/src/relay/load_exchange.hpp
@@ -33,7 +33,8 @@
   LoadExchange(const LoadExchange&) = delete;
   LoadExchange& operator=(const LoadExchange&) = delete;
 
-  /// Sets the source of this node's store progress and the handler for revisions that peers report.
+  /// Sets the function that returns how much of the store's state this node has read, and the
+  /// handler for revisions that peers report.
   void connect_revisions(std::function<StoreProgress()> own_progress,
                          std::function<void(const CatalogRevisions&)> on_peer_revisions);
 
--- a/src/relay/usage_reporter.hpp
+++ b/src/relay/usage_reporter.hpp
@@ -38,7 +38,8 @@
     bool call_pending = false;
     UsageReport report;
   };
-  /// Content of a store slot.
+  /// Last known content of a slot: a store object that holds the report of one window and is reused
+  /// for later windows.
   struct Slot {
     std::uint64_t revision = 0;  ///< 0: no object yet.
     usage::WindowNumber window = 0;
--- a/src/relay/usage_settings.hpp
+++ b/src/relay/usage_settings.hpp
@@ -30,7 +30,7 @@
   /// Fraction of `report_deadline` after which the reporter stops waiting for silent nodes.
   double wait_fraction = 0.6;
   Duration call_timeout = std::chrono::milliseconds(1500);
-  std::string record_kind = "shuntbank-usage";  ///< Store kind of the recorded reports.
+  std::string record_kind = "shuntbank-usage";  ///< Kind of the store objects with the reports.
   /// Number of store objects that windows use in rotation; exceeds the number of open windows.
   std::uint64_t record_slots = 12;
   usage::TrueTimeSettings true_time;
--- a/tests/core/relay/crash_ledger_test.cpp
+++ b/tests/core/relay/crash_ledger_test.cpp
@@ -92,7 +92,7 @@
 }
 
 Test(crash_ledger, ignores_a_repeated_report_that_an_answer_disproved) {
-  // Reports are repeated.
+  // Nodes send each report several times, as messages may be lost.
   LedgerFixture fixture;
   const InterruptedRequest report{{kOther, kCaller}, 1, false, true};
   fixture.ledger.on_interrupted(fixture.now, report);
--- a/tests/core/relay/dispatch_choice_test.cpp
+++ b/tests/core/relay/dispatch_choice_test.cpp
@@ -145,8 +145,8 @@
   cr_assert_eq(fixture.engines.find(prefill_engine)->prefill_tokens, 3000);
 }
 
-// Guards against a crash when planning a late request again as deferred finds no candidate, because
-// the only engine left would grant its permit too late.
+// Guards against a crash when a request that would miss its objective is planned again as deferred
+// and has no candidate: the rate limit of the only engine would admit it too late.
 Test(dispatch_plan, keeps_the_first_plan_when_no_deferred_plan_exists) {
   Fixture fixture;
   fixture.query.prefill_sent = true;
@@ -162,8 +162,9 @@
   cr_assert_eq(plan->placement.engine, decode_engine);
 }
 
-// Guards against comparing the permit wait, a time, with a cost that includes bonuses: at the home
-// of a shared part the cost may be negative, and remote prefills were then rejected.
+// Guards against comparing the permit wait, a time, with a placement cost. The cost is reduced at
+// the home engine of a shared prompt part and may be negative there; remote prefills were then
+// rejected.
 Test(dispatch_plan, prefills_remotely_at_the_home_of_a_partly_cached_prompt) {
   Fixture fixture;
   fixture.prompt = {{{1, 3000}, {3, 6000}, {2, 1000}}, 10000, 80};
--- a/tests/core/relay/placement_test.cpp
+++ b/tests/core/relay/placement_test.cpp
@@ -94,7 +94,8 @@
 }
 
 Test(placement, leaves_the_home_when_reading_the_shared_parts_elsewhere_is_quicker) {
-  // Guards against a fixed bonus for the home, which lets queues build up at fast engines.
+  // Guards against a fixed bonus for the home: fast engines prefill the shared parts in less time
+  // than the bonus, so that requests would queue at the home for longer than they save.
   Fleet fleet;
   const EngineId home = fleet.choose()->engine;
   const double shared_prefill_ms =
@@ -175,7 +176,8 @@
 }
 
 Test(stage_planner, counts_an_order_in_progress_as_done) {
-  // Guards against repeating an order before its effect shows, and reverting it afterwards.
+  // Guards against repeating a stage-change order before its effect shows, and reverting it
+  // afterwards.
   Fleet fleet;
   for (int i = 0; i < 5; ++i) {
     fleet.engines.upsert(engine("p" + std::to_string(i), EngineStage::kDecode));
--- a/tests/core/relay/retry_budget_test.cpp
+++ b/tests/core/relay/retry_budget_test.cpp
@@ -26,8 +26,9 @@
   return last - first;
 }
 
-/// @return extra dispatches beyond the bound in the window from `begin`. The requests are the most
-/// of that window, the one before it and the one half a window earlier.
+/// @return by how many extra dispatches the window from `begin` exceeds the bound; negative if it
+/// stays below. The bound applies the ratio to the largest request count of three windows: the one
+/// from `begin`, the one before it and the one that starts half a window earlier.
 double excess_from(int begin, const FleetHistory& history, const RetryBudgetSettings& settings) {
   const int window = static_cast<int>(to_ms(settings.window));
   const auto requests_from = [&](int from) {
@@ -40,7 +41,8 @@
   return extra_dispatches - settings.ratio * static_cast<double>(requests) - settings.slack;
 }
 
-/// @return the largest excess of any window, which starts or ends with an extra dispatch.
+/// @return the largest excess over all windows. Only windows that start or end with an extra
+/// dispatch are checked.
 double worst_excess(const FleetHistory& history, const RetryBudgetSettings& settings) {
   const int window = static_cast<int>(to_ms(settings.window));
   double worst = -settings.slack;
@@ -138,14 +140,15 @@
       if (budget.try_spend(now) && second >= 30) ++spent;
     }
   }
-  // Dispatches are charged for a tenth of a window longer than requests count, and slots round
-  // down.
+  // Less than the ratio, since dispatches are charged for a tenth of a window longer than requests
+  // count, and since counting by time slots rounds the available budget down.
   constexpr double kFullRatio = 30 * kRequestsPerSecond * 0.2;
   cr_assert_geq(spent, kFullRatio * 0.85, "%d of %.0f", spent, kFullRatio);
 }
 
 Test(retry_budget, allows_retrying_in_flight_requests_after_a_crash) {
-  // A crash fails all requests of an engine at once: half of a window's ratio is available.
+  // A crash fails all requests of an engine at once. The budget is the ratio times the mean of two
+  // windows; only one of them has requests here, so half of that window's requests count.
   RetryBudgetSettings settings;
   settings.slack = 0;
   RetryBudget budget(settings, {});
--- a/tests/relay/catalog_slow_link_test.cpp
+++ b/tests/relay/catalog_slow_link_test.cpp
@@ -13,7 +13,8 @@
 
 constexpr std::size_t kLinkBytesPerSecond = 1'250'000;
 
-/// A node on a slow link. Its peers see each change immediately and send hints.
+/// A node on a slow link. Its peers see each change immediately and report the new revision to it
+/// as a hint (`Catalog::hint`).
 struct SlowLinkFixture {
   explicit SlowLinkFixture(std::size_t configuration_bytes = 500'000) {
     store.object_bytes = configuration_bytes;
--- a/tests/relay/engine_notice_test.cpp
+++ b/tests/relay/engine_notice_test.cpp
@@ -48,7 +48,7 @@
   site.http.answer(0, 200, {{"id", "r1"}}, "h1");
   cr_assert_eq(target_engine(site, 1), "d1");
   site.add_engine("d2", "model", EngineStage::kDecode);
-  // By load alone, all requests would go to the first engine.
+  // By load alone, all requests would go to d1, which announces draining.
   for (int i = 0; i < 6; ++i) site.node->engines().on_attempt_sent(EngineId("d2"), {20000, false});
   site.http.begin(1, 200, sealed_draining());
   for (int i = 0; i < 12; ++i) {
--- a/tests/relay/relay_node_test.cpp
+++ b/tests/relay/relay_node_test.cpp
@@ -108,7 +108,8 @@
 }
 
 Test(relay_node, spends_no_slack_in_the_first_window_after_a_restart) {
-  // A restarted process does not know what its previous run spent in the same window.
+  // A restarted process does not know how many extra dispatches its previous run made in the same
+  // window.
   RelayFixture site;
   site.restart();
   site.node->set_fleet({7, 0});
--- a/tests/relay/support/exchanging_fleet.hpp
+++ b/tests/relay/support/exchanging_fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Relay nodes that exchange load over an in-memory network.
+/// Relay nodes that exchange load reports over an in-memory network.
 #pragma once
 
 #include <map>
--- a/tests/relay/support/fakes.hpp
+++ b/tests/relay/support/fakes.hpp
@@ -177,7 +177,7 @@
   bool down = false;                ///< Calls fail with `kNotDone`.
   bool lose_answers = false;        ///< Writes take effect but fail with `kUncertain`.
   bool drop_notifications = false;  ///< Open watches miss changes.
-  /// Newest revision in answers that may lag.
+  /// Newest revision in answers to calls with `Freshness::kMayLag`.
   std::uint64_t replica_revision = std::numeric_limits<std::uint64_t>::max();
   /// Carries the answers to lists and watches; null: answers take no time.
   SlowLink* link = nullptr;
@@ -185,7 +185,7 @@
   Duration answer_delay{};       ///< Before an answer over the link begins.
   int lists = 0;
   int watches = 0;
-  int latest_calls = 0;  ///< Lists and watches that may not lag.
+  int latest_calls = 0;  ///< Lists and watches with `Freshness::kLatest`.
   int writes = 0;
 
  private:
