--- a/src/platform/object_client.cpp
+++ b/src/platform/object_client.cpp
@@ -12,7 +12,7 @@
 constexpr int kConflict = 409;
 constexpr int kTooManyRequests = 429;
 
-tl::expected<std::optional<VersionedValue>, PlatformError> read_reply(
+tl::expected<std::optional<VersionedValue>, PlatformError> parse_object_reply(
     const tl::expected<HttpReply, TransferError>& reply) {
   if (!reply) return tl::make_unexpected(PlatformError::kUnavailable);
   if (reply->status == kNotFound || reply->status == kNoContent) return std::nullopt;
@@ -26,7 +26,7 @@
   return VersionedValue{json["version"].get<std::uint64_t>(), json["value"]};
 }
 
-tl::expected<WriteResult, PlatformError> read_write_reply(
+tl::expected<WriteResult, PlatformError> parse_write_reply(
     const tl::expected<HttpReply, TransferError>& reply) {
   if (!reply) return tl::make_unexpected(PlatformError::kUnavailable);
   const auto json = nlohmann::json::parse(reply->body, nullptr, false);
@@ -35,7 +35,7 @@
   return WriteResult{reply->status == 200, json.value("version", std::uint64_t{0})};
 }
 
-tl::expected<std::vector<Machine>, PlatformError> read_machines(
+tl::expected<std::vector<Machine>, PlatformError> parse_machines_reply(
     const tl::expected<HttpReply, TransferError>& reply) {
   if (!reply || reply->status != 200) return tl::make_unexpected(PlatformError::kUnavailable);
   const auto json = nlohmann::json::parse(reply->body, nullptr, false);
@@ -58,8 +58,9 @@
   OutgoingRequest request;
   request.url = url;
   request.total_timeout = timeout;
-  http_.fetch(std::move(request),
-              [handler = std::move(handler)](const auto& reply) { handler(read_reply(reply)); });
+  http_.fetch(std::move(request), [handler = std::move(handler)](const auto& reply) {
+    handler(parse_object_reply(reply));
+  });
 }
 
 void ObjectClient::read(const std::string& key, ReadHandler handler) {
@@ -80,7 +81,7 @@
   request.body = nlohmann::json{{"expected_version", expected_version}, {"value", value}}.dump();
   request.total_timeout = kCallTimeout;
   http_.fetch(std::move(request), [handler = std::move(handler)](const auto& reply) {
-    handler(read_write_reply(reply));
+    handler(parse_write_reply(reply));
   });
 }
 
@@ -88,8 +89,9 @@
   OutgoingRequest request;
   request.url = base_url_ + "/machines";
   request.total_timeout = kCallTimeout;
-  http_.fetch(std::move(request),
-              [handler = std::move(handler)](const auto& reply) { handler(read_machines(reply)); });
+  http_.fetch(std::move(request), [handler = std::move(handler)](const auto& reply) {
+    handler(parse_machines_reply(reply));
+  });
 }
 
 }  // namespace shuntbank
--- a/src/protocol/configuration_message.cpp
+++ b/src/protocol/configuration_message.cpp
@@ -50,7 +50,7 @@
   return RouteKind::kUnsafe;
 }
 
-Route route_of(const json& object) {
+Route route_from_json(const json& object) {
   Route route;
   route.name = object.at("name").get<std::string>();
   route.host = object.at("host").get<std::string>();
@@ -79,7 +79,7 @@
           {"change", micros(model.role_change_time)}};
 }
 
-ModelServing model_of(const json& object) {
+ModelServing model_from_json(const json& object) {
   ModelServing model;
   model.slots = object.at("slots").get<std::uint32_t>();
   model.kv_tokens = object.at("kv_tokens").get<std::uint64_t>();
@@ -101,7 +101,7 @@
   return object;
 }
 
-capacity::EngineScale scale_of(const json& object) {
+capacity::EngineScale scale_from_json(const json& object) {
   capacity::EngineScale scale;
   scale.min = object.at("least").get<std::uint32_t>();
   scale.max = object.at("most").get<std::uint32_t>();
@@ -120,12 +120,12 @@
   return object;
 }
 
-RelayedService service_of(const json& object) {
+RelayedService service_from_json(const json& object) {
   RelayedService service;
   service.name = ServiceName(object.at("name").get<std::string>());
   service.max_connections = object.at("connections").get<std::uint32_t>();
-  if (object.contains("model")) service.model = model_of(object["model"]);
-  if (object.contains("scale")) service.scale = scale_of(object["scale"]);
+  if (object.contains("model")) service.model = model_from_json(object["model"]);
+  if (object.contains("scale")) service.scale = scale_from_json(object["scale"]);
   return service;
 }
 
@@ -141,7 +141,7 @@
   return object;
 }
 
-DeclaredTenant tenant_of(const json& object) {
+DeclaredTenant tenant_from_json(const json& object) {
   DeclaredTenant tenant;
   tenant.name = TenantName(object.at("name").get<std::string>());
   for (const json& entry : object.at("keys")) {
@@ -154,7 +154,7 @@
   return tenant;
 }
 
-RequestLimits limits_of(const json& object) {
+RequestLimits limits_from_json(const json& object) {
   RequestLimits limits;
   limits.max_header_bytes = object.at("header").get<std::size_t>();
   limits.max_body_bytes = object.at("body").get<std::size_t>();
@@ -163,20 +163,20 @@
   return limits;
 }
 
-RouteConfiguration configuration_of(const json& document) {
+RouteConfiguration configuration_from_json(const json& document) {
   RouteConfiguration configuration;
   configuration.version = document.at("version").get<std::uint64_t>();
   for (const json& route : document.at("routes")) {
-    configuration.routes.push_back(route_of(route));
+    configuration.routes.push_back(route_from_json(route));
   }
   for (const json& service : document.at("services")) {
-    configuration.services.push_back(service_of(service));
+    configuration.services.push_back(service_from_json(service));
   }
-  configuration.limits = limits_of(document.at("limits"));
+  configuration.limits = limits_from_json(document.at("limits"));
   if (!document.contains("tenants")) return configuration;
   configuration.tenants.emplace();
   for (const json& tenant : document["tenants"]) {
-    configuration.tenants->push_back(tenant_of(tenant));
+    configuration.tenants->push_back(tenant_from_json(tenant));
   }
   return configuration;
 }
@@ -187,7 +187,7 @@
           {"tenants", summary.tenants_hash}};
 }
 
-ConfigurationSummary summary_of(const json& object) {
+ConfigurationSummary summary_from_json(const json& object) {
   ConfigurationSummary summary;
   summary.revision = object.at("revision").get<std::uint64_t>();
   summary.group_hashes = object.at("groups").get<decltype(summary.group_hashes)>();
@@ -201,11 +201,11 @@
           {"whole", to_json(delta.result)}};
 }
 
-ConfigurationDelta delta_of(const json& object) {
+ConfigurationDelta delta_from_json(const json& object) {
   ConfigurationDelta delta;
   delta.changed_groups = object.at("groups").get<std::vector<std::size_t>>();
   delta.tenants_unchanged = object.at("tenants_kept").get<bool>();
-  delta.result = summary_of(object.at("whole"));
+  delta.result = summary_from_json(object.at("whole"));
   return delta;
 }
 
@@ -262,7 +262,7 @@
   try {
     const std::string_view body = bytes.substr(std::min(kCallPrefix.size(), bytes.size()));
     const json document = json::from_msgpack(body.begin(), body.end());
-    return ConfigurationCall{summary_of(document.at("known")),
+    return ConfigurationCall{summary_from_json(document.at("known")),
                              document.at("most_bytes").get<std::size_t>()};
   } catch (const json::exception& error) {
     return tl::make_unexpected(std::string(error.what()));
@@ -301,8 +301,8 @@
   try {
     const json document = json::from_msgpack(bytes.begin(), bytes.end());
     ConfigurationMessage message{document.at("revision").get<std::uint64_t>(),
-                                 configuration_of(document)};
-    if (document.contains("part")) message.delta = delta_of(document["part"]);
+                                 configuration_from_json(document)};
+    if (document.contains("part")) message.delta = delta_from_json(document["part"]);
     return message;
   } catch (const json::exception& error) {
     return tl::make_unexpected(std::string(error.what()));
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -21,7 +21,7 @@
 constexpr int kProtocolVersion = 1;
 
 /// Largest datagram, in bytes: below the usual path MTU, to avoid fragmentation.
-constexpr std::size_t kMaxDatagram = 1200;
+constexpr std::size_t kMaxHeartbeat = 1200;
 
 /// Largest framed message, in bytes.
 constexpr std::size_t kMaxFrame = 16UL << 20U;
--- a/tests/protocol/configuration_summary_test.cpp
+++ b/tests/protocol/configuration_summary_test.cpp
@@ -148,12 +148,12 @@
 }
 
 Test(configuration_summary, rejects_a_delta_for_another_base) {
-  const RouteConfiguration summarized = with_routes(40);
-  RouteConfiguration newer = summarized;
+  const RouteConfiguration before = with_routes(40);
+  RouteConfiguration newer = before;
   newer.routes[3].timeout = 9s;
-  const auto delta = make_delta(summarize(summarized, 10), {12, newer}, summarize(newer, 12));
+  const auto delta = make_delta(summarize(before, 10), {12, newer}, summarize(newer, 12));
   // Another configuration became active between the call and the answer.
-  RouteConfiguration base = summarized;
+  RouteConfiguration base = before;
   base.routes[30].timeout = 8s;
   cr_assert_not(apply_delta(delta, base).has_value());
 }
--- a/tests/protocol/earlier_messages_test.cpp
+++ b/tests/protocol/earlier_messages_test.cpp
@@ -13,19 +13,19 @@
 
 namespace {
 
-constexpr const char* kLoad =
+constexpr const char* kLoadHex =
     "8aa3616765cd0190a4626f6f7407a763726173686573919604000005001ea46c6f61649194a2653102cd012c28a4"
     "6e6f6465a26e31a572656164739192a2653192920bcd0384920c50a47365656e921516a373657109a373756dc3a8"
     "74726f75626c65739293a2653102c394a2653200c2c3";
-constexpr const char* kDigest =
+constexpr const char* kDigestHex =
     "9aa26e320304a27a31059200ceffffffff944d01ccc8039391934d0bcd038491934d01c2919604000005001e9215"
     "16cd0190";
-constexpr const char* kView =
+constexpr const char* kViewHex =
     "c100000000000000429aa26e320304a27a31059200ceffffffff944d01ccc8039391934d0bcd038491934d01c291"
     "9604000005001e921516cd0190";
-constexpr const char* kUsageCall = "5593a26e3107ce0001e240";
-constexpr const char* kUsageCounts = "569aa26e310702cd03e8cd03846403000192a1740c";
-constexpr const char* kSnapshot = "81a46b6570749192a2653191920bcd0384";
+constexpr const char* kUsageCallHex = "5593a26e3107ce0001e240";
+constexpr const char* kUsageCountsHex = "569aa26e310702cd03e8cd03846403000192a1740c";
+constexpr const char* kSnapshotHex = "81a46b6570749192a2653191920bcd0384";
 
 std::string from_hexadecimal(std::string_view text) {
   std::string bytes;
@@ -61,7 +61,7 @@
   return message;
 }
 
-LoadDigest digest() {
+LoadDigest load_digest() {
   LoadDigest sum;
   sum.collector = NodeId("n2");
   sum.number = {3, 4};
@@ -87,30 +87,32 @@
 }  // namespace
 
 Test(earlier_messages, are_decoded) {
-  const auto message = decode_load_message(from_hexadecimal(kLoad));
+  const auto message = decode_load_message(from_hexadecimal(kLoadHex));
   cr_assert(message.has_value());
   cr_assert(message->load == load_message().load);
   cr_assert(message->troubles == load_message().troubles);
   cr_assert(message->crashes == load_message().crashes);
   cr_assert(message->limits.empty());
-  cr_assert(decode_digest(from_hexadecimal(kDigest)).value() == digest());
-  const auto view = decode_view(from_hexadecimal(kView));
-  cr_assert(view->digest == digest());
-  cr_assert_eq(view->last_sequence, 66);
-  cr_assert(decode_usage_call(from_hexadecimal(kUsageCall)).value() == usage_call());
-  cr_assert_eq(decode_usage_counts(from_hexadecimal(kUsageCounts))->counts.at(TenantName("t")), 12);
+  cr_assert(decode_digest(from_hexadecimal(kDigestHex)).value() == load_digest());
+  const auto fleet_view = decode_view(from_hexadecimal(kViewHex));
+  cr_assert(fleet_view->digest == load_digest());
+  cr_assert_eq(fleet_view->last_sequence, 66);
+  cr_assert(decode_usage_call(from_hexadecimal(kUsageCallHex)).value() == usage_call());
+  cr_assert_eq(decode_usage_counts(from_hexadecimal(kUsageCountsHex))->counts.at(TenantName("t")),
+               12);
   cr_assert_eq(
-      decode_cache_snapshot(from_hexadecimal(kSnapshot))->cached_prompts.at(0).parts.at(0).id, 11);
+      decode_cache_snapshot(from_hexadecimal(kSnapshotHex))->cached_prompts.at(0).parts.at(0).id,
+      11);
 }
 
 Test(earlier_messages, match_the_encoding_without_new_fields) {
-  cr_assert(encode(load_message()) == from_hexadecimal(kLoad));
-  const std::string sum = encode_parts(digest()).front();
-  cr_assert(sum == from_hexadecimal(kDigest));
-  cr_assert(encode_view(66, sum) == from_hexadecimal(kView));
-  cr_assert(encode(usage_call()) == from_hexadecimal(kUsageCall));
+  cr_assert(encode(load_message()) == from_hexadecimal(kLoadHex));
+  const std::string sum = encode_parts(load_digest()).front();
+  cr_assert(sum == from_hexadecimal(kDigestHex));
+  cr_assert(encode_view(66, sum) == from_hexadecimal(kViewHex));
+  cr_assert(encode(usage_call()) == from_hexadecimal(kUsageCallHex));
   const CacheSnapshot snapshot{{{EngineId("e1"), {{11, 900}}}}};
-  cr_assert(encode(snapshot) == from_hexadecimal(kSnapshot));
+  cr_assert(encode(snapshot) == from_hexadecimal(kSnapshotHex));
 }
 
 Test(earlier_messages, are_contained_in_messages_with_limits) {
@@ -118,14 +120,14 @@
   message.limits = {{EngineId("e1"), {1.3, 20}}, {EngineId("e2"), {std::nullopt, 0}}};
   json document = parsed(encode(message));
   document.erase("limits");
-  cr_assert(document == parsed(from_hexadecimal(kLoad)));
+  cr_assert(document == parsed(from_hexadecimal(kLoadHex)));
   cr_assert(decode_load_message(encode(message))->limits == message.limits);
-  LoadDigest sum = digest();
+  LoadDigest sum = load_digest();
   sum.updates.limits = {{77, {1.3, 20}}};
   const std::string bytes = encode_parts(sum).front();
   cr_assert(is_digest(bytes));
   cr_assert(decode_digest(bytes).value() == sum);
   json lists = parsed(bytes);
   lists[7].erase(3);
-  cr_assert(lists == parsed(from_hexadecimal(kDigest)));
+  cr_assert(lists == parsed(from_hexadecimal(kDigestHex)));
 }
--- a/tests/protocol/load_digest_test.cpp
+++ b/tests/protocol/load_digest_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-LoadDigest header() {
+LoadDigest digest_without_load() {
   LoadDigest digest;
   digest.collector = NodeId("front-somewhere-long-12");
   digest.number = {0xffffffffffffff, 123456};
@@ -53,7 +53,7 @@
 
 Test(load_digest, parts_join_to_the_whole) {
   const bool passed = rc::check("parts join to the whole and fit", [] {
-    LoadDigest whole = header();
+    LoadDigest whole = digest_without_load();
     for (int i = *rc::gen::inRange(0, 640); i > 0; --i) {
       whole.range.load[*rc::gen::arbitrary<relay::EngineKey>()] = arbitrary_load();
     }
@@ -80,16 +80,16 @@
 }
 
 Test(load_digest, covers_all_engines_when_it_is_empty) {
-  const auto parts = encode_parts(header());
+  const auto parts = encode_parts(digest_without_load());
   cr_assert_eq(parts.size(), 1);
   const auto decoded = decode_digest(parts[0]);
   cr_assert(decoded.has_value());
-  cr_assert(*decoded == header());
+  cr_assert(*decoded == digest_without_load());
   cr_assert(decoded->range.covers(0) && decoded->range.covers(0xffffffff));
 }
 
 Test(load_digest, is_distinguished_from_other_messages) {
-  const std::string digest = encode_parts(header())[0];
+  const std::string digest = encode_parts(digest_without_load())[0];
   const std::string view = encode_view(77, digest);
   LoadMessage message;
   message.node = NodeId("n");
@@ -99,12 +99,12 @@
   const auto decoded = decode_view(view);
   cr_assert(decoded.has_value());
   cr_assert_eq(decoded->last_sequence, 77);
-  cr_assert(decoded->digest == header());
+  cr_assert(decoded->digest == digest_without_load());
 }
 
 Test(load_digest, rejects_malformed_bytes) {
   cr_assert(!decode_digest("\x9a\x01").has_value());
   cr_assert(!decode_digest("").has_value());
   cr_assert(!decode_view("\xc1\x00\x00").has_value());
-  cr_assert(!decode_view(encode_parts(header())[0]).has_value());
+  cr_assert(!decode_view(encode_parts(digest_without_load())[0]).has_value());
 }
--- a/tests/protocol/messages_test.cpp
+++ b/tests/protocol/messages_test.cpp
@@ -39,7 +39,7 @@
   fact.role = EngineRole::kPrefill;
   fact.availability = Availability::kDraining;
   heartbeat.engines.assign(3, fact);
-  cr_assert_leq(encode(heartbeat).size(), kMaxDatagram, "%zu", encode(heartbeat).size());
+  cr_assert_leq(encode(heartbeat).size(), kMaxHeartbeat, "%zu", encode(heartbeat).size());
 }
 
 Test(messages, unknown_fields_are_ignored_and_other_versions_refused) {
