--- a/src/platform/object_client.hpp
+++ b/src/platform/object_client.hpp
@@ -38,7 +38,7 @@
 struct Machine {
   std::string name;
   std::string kind;     ///< `node` or `engine`.
-  std::string address;  ///< Of the cluster interface for nodes, of the engine's API for engines.
+  std::string address;  ///< Where a node accepts messages from other nodes, or an engine API calls.
   bool leaving = false;
 };
 
@@ -47,21 +47,25 @@
  public:
   ObjectClient(HttpClient& http, std::string address);
 
-  /// Reads one object; nothing when it does not exist.
   using ReadHandler =
       std::function<void(tl::expected<std::optional<VersionedValue>, PlatformError>)>;
+
+  /// Reads one object. The result is std::nullopt if the object does not exist.
   void read(const std::string& key, ReadHandler handler);
 
-  /// Waits until the object's version is above `from`; nothing if `kWatchTime` passes first.
+  /// Waits until the object's version is above `from`. The result is std::nullopt if `kWatchTime`
+  /// passes first or the object does not exist.
   void watch(const std::string& key, std::uint64_t from, ReadHandler handler);
 
-  /// Replaces the object if its version is `expected_version`; zero: if it does not exist yet.
   using WriteHandler = std::function<void(tl::expected<WriteResult, PlatformError>)>;
+
+  /// Replaces the object if its version is `expected_version`; zero: if it does not exist yet.
   void write(const std::string& key, std::uint64_t expected_version, const nlohmann::json& value,
              WriteHandler handler);
 
-  /// Reads the machine list.
   using MachinesHandler = std::function<void(tl::expected<std::vector<Machine>, PlatformError>)>;
+
+  /// Reads the machine list.
   void list_machines(MachinesHandler handler);
 
   /// Time after which the platform answers a watch without a change.
--- a/src/protocol/load_digest.hpp
+++ b/src/protocol/load_digest.hpp
@@ -26,10 +26,10 @@
 /// @return the time of a confirmation of this age; the epoch of the clock for kNeverConfirmed.
 MonotonicTime from_age_ms(MonotonicTime now, std::uint32_t age_ms);
 
-/// One part of a collector's sum.
+/// A collector's load sum, or the part of it in one datagram.
 struct LoadDigest {
   NodeId collector;
-  relay::MessageNumber number;  ///< Shared by the parts of one sum.
+  relay::MessageNumber number;  ///< The same in all parts of one load sum.
   ZoneName zone;                ///< Zone that is summed; empty: all zones.
   std::size_t node_count = 0;   ///< Nodes in the sum.
   relay::LoadRange range;
--- a/src/protocol/load_message.hpp
+++ b/src/protocol/load_message.hpp
@@ -38,8 +38,8 @@
   relay::CatalogRevisions revisions;           ///< Newest store revisions that the node has seen.
   /// Milliseconds since the store confirmed them; set by store readers only.
   std::optional<std::uint32_t> store_age_ms;
-  bool to_collector = false;  ///< The receiver is to add it to its sum.
-  bool wants_view = false;    ///< The receiver is to send the sum back.
+  bool to_collector = false;  ///< The receiver is to add this load to its load sum.
+  bool wants_view = false;    ///< The receiver is to send the fleet's load sum back.
 };
 
 /// Prompts cached at the engines, requested by a node that has just started.
@@ -50,10 +50,10 @@
 /// Largest message, in bytes; fits into one datagram on common links.
 constexpr std::size_t kMaxLoadMessage = 1400;
 
-/// Largest snapshot, in bytes.
+/// Largest encoded CacheSnapshot, in bytes.
 constexpr std::size_t kMaxCacheSnapshot = 4UL << 20U;
 
-/// Requests a snapshot.
+/// Name of the call that requests a CacheSnapshot.
 constexpr std::string_view kSnapshotCall = "caches";
 
 std::string encode(const LoadMessage& message);
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -20,7 +20,7 @@
 /// Major version of the protocol between nodes.
 constexpr int kProtocolVersion = 1;
 
-/// Largest datagram, in bytes: below the usual path MTU, to avoid fragmentation.
+/// Largest Heartbeat, in bytes: below the usual path MTU, to avoid fragmentation.
 constexpr std::size_t kMaxHeartbeat = 1200;
 
 /// Largest framed message, in bytes.
@@ -114,7 +114,8 @@
 /// Asks a replica which view it serves. By framed connection.
 struct ClaimProbe {};
 
-/// Asks the coordinator for the group's composition. By framed connection.
+/// Asks the coordinator for the members of the claim group: the replicas that record claims on
+/// keys. By framed connection.
 struct ClaimGroupPull {};
 
 /// Answer to `ClaimGroupPull`.
--- a/src/protocol/permit_message.cpp
+++ b/src/protocol/permit_message.cpp
@@ -10,6 +10,7 @@
 
 using nlohmann::json;
 
+/// First byte of a message, which identifies its type.
 constexpr char kCallMark = 'P';
 constexpr char kAnswerMark = 'Q';
 
--- a/src/protocol/permit_message.hpp
+++ b/src/protocol/permit_message.hpp
@@ -36,8 +36,8 @@
 /// The answer to a call.
 struct PermitAnswer {
   NodeId node;
-  std::uint64_t boot = 0;    ///< Of the call.
-  std::uint64_t number = 0;  ///< The same.
+  std::uint64_t boot = 0;    ///< Copied from the call.
+  std::uint64_t number = 0;  ///< Copied from the call.
   EngineId engine;
   PermitVerdict verdict = PermitVerdict::kNotOwner;
   std::uint32_t send_in_ms = 0;         ///< Time until the granted send is allowed.
--- a/src/protocol/usage_message.cpp
+++ b/src/protocol/usage_message.cpp
@@ -13,6 +13,7 @@
 using usage::TenantCounts;
 using usage::UsageCounts;
 
+/// First byte of a message, which identifies its type.
 constexpr char kCallMark = 'U';
 constexpr char kCountsMark = 'V';
 
--- a/src/protocol/usage_message.hpp
+++ b/src/protocol/usage_message.hpp
@@ -17,7 +17,7 @@
 struct UsageCall {
   NodeId reporter;
   std::uint64_t boot = 0;                  ///< Of the reporter's process.
-  std::optional<usage::UnixMs> true_time;  ///< True time when the call was sent.
+  std::optional<usage::UnixMs> true_time;  ///< Send time by the median of the nodes' clocks.
 
   bool operator==(const UsageCall&) const = default;
 };
--- a/tests/protocol/load_digest_test.cpp
+++ b/tests/protocol/load_digest_test.cpp
@@ -25,7 +25,7 @@
           *rc::gen::inRange<std::uint64_t>(0, 1U << 22U)};
 }
 
-/// Combined content of the parts of a digest.
+/// Combined content of the parts of one load sum, which are datagrams with a LoadDigest each.
 struct JoinedParts {
   relay::LoadByKey load;
   relay::EngineUpdates updates;
