--- a/src/core/admission/fair_queue.hpp
+++ b/src/core/admission/fair_queue.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Fair queueing of requests across tenants: by priority, then by start-time fair queueing on
-/// tokens, in proportion to the tenants' weights.
+/// Fair queueing of requests across tenants: by priority, then by weighted fair queueing of
+/// tokens. Among tenants of equal priority, the one with the lowest virtual time is served next
+/// (start-time fair queueing).
 #pragma once
 
 #include <cstdint>
--- a/src/core/admission/tenant_limiter.cpp
+++ b/src/core/admission/tenant_limiter.cpp
@@ -35,7 +35,8 @@
   const double token_bucket = bucket_size(token_rate, 0.0);
   if (!account.initialized) {
     // What was admitted before a restart is unknown, so a bucket fills from the start of the
-    // process. It starts with one request, so that a new node does not refuse the first one.
+    // process. It starts with credit for one request, so that a new node does not refuse the first
+    // one.
     account.initialized = true;
     account.refilled_at = started_;
     account.requests = 1;
--- a/src/core/admission/tenant_limiter.hpp
+++ b/src/core/admission/tenant_limiter.hpp
@@ -37,7 +37,8 @@
   std::optional<LimitRefusal> admit(MonotonicTime now, const TenantName& tenant,
                                     const TenantLimits& limits, double estimated_tokens);
 
-  /// Ends an admitted request and corrects its token estimate.
+  /// Ends an admitted request and charges the token bucket the difference between the actual and
+  /// the estimated tokens.
   void finish(const TenantName& tenant, double estimated_tokens, double actual_tokens);
 
  private:
--- a/src/core/capacity/capacity_planner.cpp
+++ b/src/core/capacity/capacity_planner.cpp
@@ -140,7 +140,8 @@
                          plan);
   for (const auto& [zone, engines] : present) {
     const Purchase purchase{zone, true};
-    // Spot and full-price engines together stay within the maximum, also during the changeover.
+    // Spot and full-price engines together stay within the maximum, also while spot engines
+    // replace full-price ones.
     const std::uint32_t full = std::max(engines.full, plan[{zone, false}]);
     const std::uint32_t headroom = scale.max - std::min(scale.max, full);
     if (scale.spot_price) plan[purchase] = std::min(spot, headroom);
--- a/src/core/capacity/capacity_planner.hpp
+++ b/src/core/capacity/capacity_planner.hpp
@@ -18,7 +18,7 @@
 struct EngineScale {
   std::uint32_t min = 1;                   ///< Per zone, spot and full price together.
   std::uint32_t max = 1;                   ///< Per zone, spot and full price together.
-  Duration startup = Duration::zero();     ///< From an order until the new engine serves.
+  Duration startup = Duration::zero();     ///< From a purchase until the new engine serves.
   std::optional<double> spot_price;        ///< Fraction of the full price; unset: no spot engines.
   std::map<ZoneName, double> zone_prices;  ///< Per second, of a full-price engine.
 
@@ -38,7 +38,8 @@
 /// @return the sum over all zones.
 ZoneEngines total_engines(const EnginesByZone& present);
 
-/// Kind of engine to buy: spot or full price, in one zone.
+/// Kind of engine to buy from the provider: spot or full price, in one zone. The number to buy is
+/// not part of it.
 struct Purchase {
   ZoneName zone;
   bool spot = false;
@@ -46,12 +47,12 @@
   auto operator<=>(const Purchase&) const = default;
 };
 
-/// Target number of engines of each kind.
+/// Target number of engines of each kind, including those already present.
 using Purchases = std::map<Purchase, std::uint32_t>;
 
 /// How spot engines are used.
 enum class SpotStrategy {
-  kNone,       ///< Nothing is ordered.
+  kNone,       ///< The planner is off: its plans are empty.
   kSpotSwap,   ///< As many spot engines as needed, without spares.
   kSpotSpare,  ///< Enough spot engines to lose those of any one zone.
 };
@@ -71,8 +72,8 @@
   double min_full_price_share = 0.5;
   /// Delay before unavailable engines are requested again.
   Duration unavailable_retry_interval = std::chrono::seconds(3);
-  /// How long a surplus must last before full-price engines are released: starting engines are
-  /// counted slightly early, and a released engine cannot be replaced at once.
+  /// How long a surplus must last before full-price engines are released: starting engines may
+  /// be counted shortly before they serve, and a released engine cannot be replaced at once.
   Duration surplus_release_delay = std::chrono::milliseconds(1200);
 };
 
--- a/src/core/lease/lease_holder.hpp
+++ b/src/core/lease/lease_holder.hpp
@@ -17,7 +17,7 @@
   NodeId holder;
   Fence epoch = 0;
   std::string write_id;  ///< Unique for each write; shows whether an unanswered write was applied.
-  Duration duration{0};  ///< How long the holder may act after sending this write.
+  Duration duration{0};  ///< Others may take the lease this long after first seeing the record.
 
   bool operator==(const LeaseRecord&) const = default;
 };
@@ -90,7 +90,7 @@
   VersionedLease seen_;
   bool seen_valid_ = false;
   MonotonicTime seen_changed_at_{};  ///< When this node first saw the current record.
-  VersionedLease pending_;
+  VersionedLease pending_;           ///< The latest write.
   std::optional<MonotonicTime> unconfirmed_write_at_;  ///< Set while a write's outcome is unknown.
   bool call_pending_ = false;
   MonotonicTime next_poll_{};
--- a/src/core/lease/order.hpp
+++ b/src/core/lease/order.hpp
@@ -20,7 +20,8 @@
   bool operator==(const DesiredState&) const = default;
 };
 
-/// Position of an order in the total order of orders to one engine.
+/// Position of an order among all orders to one engine: by fence, then by sequence number. The
+/// greater stamp is the later order.
 struct OrderStamp {
   Fence fence = 0;
   Sequence sequence = 0;
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -15,7 +15,8 @@
 /// Sends of a fact per doubling of the cluster size; three reach all members almost surely.
 constexpr int kSendsPerDoubling = 3;
 
-/// One in this many heartbeats also contacts a hinted address, to heal a network partition.
+/// One in this many heartbeats also contacts an address from `set_hints`, to heal a network
+/// partition.
 constexpr std::uint64_t kHintInterval = 8;
 
 bool supersedes(const MemberFact& candidate, const MemberFact& known) {
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -1,7 +1,8 @@
 /// @file
 /// Gossip-based cluster membership: heartbeats to random members carry a few facts each, and
 /// incarnation numbers let a member refute a false report. The platform's machine list only
-/// supplies addresses to try.
+/// supplies addresses to try. Also assigns duties: a duty is a named task that one node performs
+/// for all, the member with the highest rendezvous score for its name.
 #pragma once
 
 #include <cstdint>
@@ -67,8 +68,8 @@
   std::vector<HeartbeatTarget> tick(MonotonicTime now);
 
   /// @return the facts to include in the next message, own fact first; counts them as sent.
-  /// @param to the recipient. A recipient that is suspect or dead gets that fact so that it can
-  /// refute it, which is how a healed partition is detected.
+  /// @param to the recipient. A recipient that this node believes suspect or dead is sent the fact
+  /// that says so and can refute it, which is how a healed partition is detected.
   std::vector<MemberFact> facts_to_send(const NodeId& to = NodeId());
 
   /// Merges received facts that are newer than the known ones.
@@ -124,8 +125,8 @@
   MembershipSettings settings_;
   std::mt19937_64 random_;
   std::map<NodeId, Entry> members_;
-  std::vector<NodeId> retries_;          ///< Members that missed an answer, to be retried at once.
-  std::vector<NodeId> heartbeat_round_;  ///< Members left in this round, in random order.
+  std::vector<NodeId> retries_;          ///< Members that did not answer, to be retried at once.
+  std::vector<NodeId> heartbeat_round_;  ///< Still to contact in this round, in random order.
   std::vector<std::string> hints_;
   MonotonicTime next_heartbeat_{};
   std::uint64_t change_count_ = 0;
--- a/src/core/requests/claim_group.hpp
+++ b/src/core/requests/claim_group.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Membership of a claim group, stored on the platform, and its reconfiguration. A new view serves
+/// A claim group is the set of replicas that store which request holds an idempotency key. Its
+/// membership is stored on the platform; this file holds the reconfiguration. A new view serves
 /// only after a majority of the previous view is sealed and its claims are merged, so every granted
 /// claim is known to a majority of the active view.
 #pragma once
@@ -21,7 +22,7 @@
 struct ClaimMember {
   NodeId node;
   std::string address;     ///< `IP:PORT` of its cluster interface.
-  std::uint64_t boot = 0;  ///< Incarnation; differs after a restart.
+  std::uint64_t boot = 0;  ///< Identifies the process run; differs after a restart.
 
   bool operator==(const ClaimMember&) const = default;
 };
@@ -60,7 +61,9 @@
   /// A member of the previous view was sealed.
   void on_sealed(const NodeId& node, const SealResult& result);
 
-  /// @return whether a majority of the previous view is sealed, so that `entries` is complete.
+  /// @return whether `entries` is as complete as it can be: a majority of the previous view is
+  /// sealed, there is no previous view, a member already serves the new view, or the loss was
+  /// accepted.
   bool sealed() const;
 
   /// @return whether a majority is sealed, but too many of its members restarted and lost their
--- a/src/core/requests/claim_replica.hpp
+++ b/src/core/requests/claim_replica.hpp
@@ -50,7 +50,7 @@
 /// One replica of the claims. In memory only: after a restart it serves no view.
 class ClaimReplica {
  public:
-  /// @param boot incarnation of this process.
+  /// @param boot identifies this process run.
   /// @param retention how long a claim is kept.
   /// @param max_claims limit above which new claims are refused.
   ClaimReplica(std::uint64_t boot, Duration retention, std::size_t max_claims);
@@ -66,7 +66,7 @@
   SealResult seal(MonotonicTime now, ClaimView view);
 
   /// Starts to serve `view` with the merged claims of a majority of the previous view.
-  /// @param boot incarnation that the view names. A restarted process refuses: its predecessor may
+  /// @param boot process run that the view names. A restarted process refuses: its predecessor may
   /// have granted claims under this view.
   /// @param grant_delay time without grants, until claims that were lost have expired.
   /// @return whether it now serves that view.
@@ -89,7 +89,8 @@
   std::uint64_t boot_;
   Duration retention_;
   std::size_t max_claims_;
-  ClaimView served_view_ = 0;  ///< Latest installed view; all own grants under it are present.
+  ClaimView served_view_ =
+      0;  ///< Latest installed view. All claims granted here under it are in `claims_`.
   ClaimView sealed_view_ = 0;  ///< Nothing is granted below this view.
   std::unordered_map<ClaimKey, Claim> claims_;
   MonotonicTime next_expiry_at_{};
--- a/src/core/roles/role_assignment.cpp
+++ b/src/core/roles/role_assignment.cpp
@@ -5,7 +5,7 @@
 namespace shuntbank {
 namespace {
 
-/// One engine in this many prefills when a service is first split.
+/// When a service is first split, one in this many engines gets the prefill role.
 constexpr std::uint32_t kInitialPrefillDivisor = 3;
 
 std::string describe(const RolePlan& plan) {
--- a/src/core/roles/role_planner.hpp
+++ b/src/core/roles/role_planner.hpp
@@ -15,7 +15,9 @@
   double decode_tokens_per_second = 0;
 };
 
-/// Throughput of one engine and the cost of a role change.
+/// Throughput of one engine and the cost of a role change. Gains and costs are in goodput-seconds:
+/// the share of the demand that is served, times the number of engines, times seconds. An engine
+/// that serves nothing for a second costs one.
 struct PlannerSettings {
   double prefill_tokens_per_second = 8000;             ///< Of an engine in the prefill role.
   double decode_tokens_per_second = 1600;              ///< Of an engine in the decode role.
--- a/src/core/routing/engine_table.hpp
+++ b/src/core/routing/engine_table.hpp
@@ -34,7 +34,7 @@
 struct EngineFact {
   EngineId engine;
   OrderStamp stamp;
-  std::uint32_t version = 0;  ///< Orders facts with equal stamps.
+  std::uint32_t version = 0;  ///< Of two facts with equal stamps, the higher version is newer.
   EngineRole role = EngineRole::kMixed;
   Availability availability = Availability::kServing;
 
@@ -57,9 +57,9 @@
   Availability availability = Availability::kServing;
   ZoneName zone;
   std::uint32_t in_flight = 0;                 ///< Requests of this node.
-  std::uint64_t in_flight_prefill_tokens = 0;  ///< Of this node, not yet answered.
+  std::uint64_t in_flight_prefill_tokens = 0;  ///< Of this node, until prefilled.
   std::uint32_t peer_requests = 0;             ///< Of other nodes, by the last report.
-  std::uint64_t peer_prefill_tokens = 0;       ///< Of other nodes, by the last report.
+  std::uint64_t peer_prefill_tokens = 0;  ///< Of other nodes' waiting requests, by the last report.
   MonotonicTime reported_at{};
   std::optional<MonotonicTime> backoff_until;
   std::uint32_t consecutive_failures = 0;  ///< Determines the backoff.
--- a/src/core/routing/router.hpp
+++ b/src/core/routing/router.hpp
@@ -21,7 +21,7 @@
   kPrefixAffinity,  ///< Lowest expected wait among a few candidates, given expected cache hits.
 };
 
-/// Parameters of the expected wait; rough estimates suffice.
+/// The strategy and the parameters of the expected wait, for which rough estimates suffice.
 struct RoutingSettings {
   RoutingStrategy strategy = RoutingStrategy::kPrefixAffinity;
   double prefill_tokens_per_second = 8000;
--- a/src/core/usage/true_time.hpp
+++ b/src/core/usage/true_time.hpp
@@ -27,7 +27,8 @@
   Duration clock_timeout = std::chrono::seconds(5);
 };
 
-/// One node's estimate of true time: its local clock without jumps, corrected by the median.
+/// One node's estimate of true time: its local clock without jumps, corrected by the
+/// median of all nodes' clocks.
 class TrueTime {
  public:
   TrueTime(const TrueTimeSettings& settings, MonotonicTime now, UnixMs time_of_day);
--- a/src/core/usage/usage_counter.hpp
+++ b/src/core/usage/usage_counter.hpp
@@ -10,7 +10,8 @@
 namespace shuntbank::usage {
 
 /// Counts one node's requests. Starts are recorded by the monotonic clock and assigned to windows
-/// only when read, so that a late correction of true time applies to earlier requests too.
+/// only when read, so that a correction of the node's clock also applies to requests that started
+/// before it.
 class UsageCounter {
  public:
   /// @param retention_time how long a start is retained.
--- a/src/core/usage/usage_ledger.hpp
+++ b/src/core/usage/usage_ledger.hpp
@@ -13,11 +13,13 @@
 /// Counts of one node in one window, or a part of them.
 struct UsageCounts {
   NodeId node;
-  std::uint64_t boot = 0;      ///< Random identifier of the process start.
-  std::uint64_t sequence = 0;  ///< Grows with each send of one process; its parts share it.
-  UnixMs clock = 0;            ///< The node's local time when it sent this.
-  UnixMs counted_until = 0;    ///< True time by the node; requests started before it are included.
-  UnixMs counting_since = 0;   ///< True time at which the process started counting.
+  std::uint64_t boot = 0;  ///< Random identifier of the process start.
+  std::uint64_t sequence =
+      0;             ///< Grows with each report of one process; all parts of a report share it.
+  UnixMs clock = 0;  ///< The node's local time when it sent this.
+  UnixMs counted_until =
+      0;  ///< Requests started before it are included. The node's estimate of true time.
+  UnixMs counting_since = 0;  ///< True time at which the process started counting.
   WindowNumber window = 0;
   std::uint32_t part = 0;
   std::uint32_t parts = 1;
--- a/src/net/answer_silence.hpp
+++ b/src/net/answer_silence.hpp
@@ -7,8 +7,7 @@
 namespace shuntbank {
 
 /// Longest gap between two reads of an answer of unknown length. A timeout for the whole answer
-/// would limit its size on a slow link. Covers queueing on a full link and a retransmission, about
-/// half a second each.
+/// would limit its size on a slow link. Covers queueing on a full link and a retransmission.
 constexpr Duration kAnswerIdleTimeout = std::chrono::milliseconds(1500);
 
 }  // namespace shuntbank
--- a/src/net/http1_client.hpp
+++ b/src/net/http1_client.hpp
@@ -1,7 +1,8 @@
 /// @file
 /// HTTP/1.1 client with a connection pool: http_parser on an Asio loop. Unlike the libcurl client
-/// it never retries a request, reports whether any byte may have been sent, skips answers to other
-/// requests, and reuses a connection only when its last exchange completed cleanly.
+/// it never retries a request, reports whether any byte may have been sent, skips answers that
+/// the request's `accepts_answer` rejects, and reuses a connection only when its last exchange
+/// completed cleanly.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -22,7 +22,8 @@
   std::size_t max_body = 8UL << 20U;           ///< In bytes; a larger body closes the connection.
   std::size_t max_header_value = 16UL << 10U;  ///< In bytes; a longer field closes the connection.
   std::size_t max_header_count = 100;          ///< More fields close the connection.
-  Duration idle_timeout = std::chrono::seconds(60);  ///< Longest wait for a complete request.
+  /// From the connect or the previous reply until the next request has been received completely.
+  Duration idle_timeout = std::chrono::seconds(60);
   Duration write_timeout =
       std::chrono::seconds(30);  ///< Longest wait for a client that reads nothing.
 };
--- a/src/store/kind_watch.cpp
+++ b/src/store/kind_watch.cpp
@@ -127,7 +127,7 @@
     return !stopped_ && call_kind_ != CallKind::kNone && number == call_number_;
   }
 
-  /// Also stops the transfer of an answer that is no longer needed.
+  /// Cancels the call in flight and stops the transfer of its answer.
   void cancel_call() {
     store_.cancel(call_id_);
     call_kind_ = CallKind::kNone;
--- a/src/store/kind_watch.hpp
+++ b/src/store/kind_watch.hpp
@@ -22,8 +22,8 @@
   /// repeated. Doubled after each cancelled call, so that a slower store can answer too.
   Duration hint_grace = std::chrono::milliseconds(500);
   Duration max_hint_grace = std::chrono::seconds(4);
-  /// Only the newest state matters, and it is no larger than a change: a watch that is behind lists
-  /// the state instead of receiving every change.
+  /// Only the newest state matters, and the whole state is no larger than a single change: a watch
+  /// that is behind lists the state instead of receiving every change.
   bool newest_only = false;
   /// Pause after an answer, as a multiple of its transfer time. With 2, a watch uses at most a
   /// third of the link while changes keep arriving.
@@ -38,8 +38,8 @@
   Duration initial_backoff = std::chrono::milliseconds(50);
   Duration max_backoff = std::chrono::milliseconds(800);
   Freshness freshness = Freshness::kLatest;  ///< Initial one; see `set_freshness`.
-  /// Reports a first list that may lag only after a watch has brought the changes since. Not needed
-  /// where stale data does no harm.
+  /// A first list read with `kMayLag` is reported only after a watch has returned the changes
+  /// since. Not needed where stale data does no harm.
   bool confirm_first_list = true;
 };
 
@@ -58,16 +58,17 @@
   KindWatch(const KindWatch&) = delete;
   KindWatch& operator=(const KindWatch&) = delete;
 
-  /// @return when the store last answered, or the clock's epoch.
+  /// @return when the store last answered; `MonotonicTime{}`: never.
   MonotonicTime confirmed_at() const;
 
-  /// @return when the store last answered with `Freshness::kLatest`, or the clock's epoch.
+  /// @return when the store last answered with `Freshness::kLatest`; `MonotonicTime{}`: never.
   MonotonicTime confirmed_latest_at() const;
 
   /// @return whether the last call failed.
   bool lost() const;
 
-  /// Sets the longest wait of later calls. Must be shorter than the store's history.
+  /// Sets the longest wait of later calls. Must be shorter than the time for which the
+  /// store keeps past changes.
   void set_wait(Duration wait);
 
   /// Sets the delay between a batch and the next call.
