--- a/src/core/admission/tenant_limiter.hpp
+++ b/src/core/admission/tenant_limiter.hpp
@@ -42,19 +42,19 @@
   void finish(const TenantName& tenant, double estimated_tokens, double actual_tokens);
 
  private:
-  struct Account {
+  struct TenantBuckets {
     double requests = 0;
-    double tokens = 0;
+    double llm_tokens = 0;
     std::uint32_t in_flight = 0;
     MonotonicTime refilled_at{};
     bool initialized = false;
   };
 
-  void refill(MonotonicTime now, Account& account, const TenantLimits& limits) const;
+  void refill(MonotonicTime now, TenantBuckets& buckets, const TenantLimits& limits) const;
 
   MonotonicTime started_;
   double share_ = 1.0;
-  std::unordered_map<TenantName, Account> accounts_;
+  std::unordered_map<TenantName, TenantBuckets> buckets_;
 };
 
 }  // namespace shuntbank
--- a/src/core/lease/lease_holder.cpp
+++ b/src/core/lease/lease_holder.cpp
@@ -9,7 +9,7 @@
 
 LeaseAction LeaseHolder::poll(MonotonicTime now, bool wanted, const std::string& write_id) {
   if (call_pending_ || now < next_poll_) return LeaseAction::kNothing;
-  const bool holding = epoch_.has_value() && holds_seen_record();
+  const bool holding = epoch_.has_value() && last_seen_is_own();
   if (!wanted && !holding) return LeaseAction::kNothing;
   if (!seen_valid_ || unconfirmed_write_at_) {
     call_pending_ = true;
@@ -31,30 +31,31 @@
   return LeaseAction::kWrite;
 }
 
-bool LeaseHolder::holds_seen_record() const {
+bool LeaseHolder::last_seen_is_own() const {
   return seen_.record.holder == self_ && epoch_ == seen_.record.epoch;
 }
 
 void LeaseHolder::prepare_write(MonotonicTime now, Fence epoch, const std::string& write_id) {
-  pending_ = {seen_.version, {self_, epoch, write_id, settings_.duration}};
+  pending_write_ = {seen_.version, {self_, epoch, write_id, settings_.duration}};
   unconfirmed_write_at_ = now;
   call_pending_ = true;
 }
 
 void LeaseHolder::on_read(MonotonicTime now, const VersionedLease& lease) {
   call_pending_ = false;
-  const bool confirmed = unconfirmed_write_at_ && lease.record.write_id == pending_.record.write_id;
+  const bool confirmed =
+      unconfirmed_write_at_ && lease.record.write_id == pending_write_.record.write_id;
   const bool changed = !seen_valid_ || lease.version != seen_.version;
   if (changed) seen_changed_at_ = now;
   seen_ = lease;
   seen_valid_ = true;
   if (confirmed) {
     confirm_write(*unconfirmed_write_at_);
-  } else if (changed && epoch_ && !holds_seen_record()) {
+  } else if (changed && epoch_ && !last_seen_is_own()) {
     resign();
   }
   unconfirmed_write_at_.reset();
-  const bool on_standby = !(epoch_ && holds_seen_record());
+  const bool on_standby = !(epoch_ && last_seen_is_own());
   next_poll_ = now + (on_standby ? standby_interval_.value_or(settings_.renew_interval)
                                  : settings_.renew_interval);
 }
@@ -74,14 +75,14 @@
     next_poll_ = now;
     return;
   }
-  seen_ = {version, pending_.record};
+  seen_ = {version, pending_write_.record};
   seen_changed_at_ = now;
   confirm_write(*unconfirmed_write_at_);
   unconfirmed_write_at_.reset();
 }
 
 void LeaseHolder::confirm_write(MonotonicTime sent_at) {
-  epoch_ = pending_.record.epoch;
+  epoch_ = pending_write_.record.epoch;
   // Counted from sending, which is before the store applied the write.
   valid_until_ = sent_at + settings_.duration - settings_.safety_margin;
 }
--- a/src/core/lease/lease_holder.hpp
+++ b/src/core/lease/lease_holder.hpp
@@ -75,13 +75,13 @@
   std::optional<Fence> authority(MonotonicTime now) const;
 
   /// @return the write to send after `LeaseAction::kWrite`, with the expected stored version.
-  const VersionedLease& pending_write() const { return pending_; }
+  const VersionedLease& pending_write() const { return pending_write_; }
 
   /// @return the record as last seen in the store.
   const VersionedLease& last_seen() const { return seen_; }
 
  private:
-  bool holds_seen_record() const;
+  bool last_seen_is_own() const;
   void prepare_write(MonotonicTime now, Fence epoch, const std::string& write_id);
   void confirm_write(MonotonicTime sent_at);
 
@@ -90,7 +90,7 @@
   VersionedLease seen_;
   bool seen_valid_ = false;
   MonotonicTime seen_changed_at_{};  ///< When this node first saw the current record.
-  VersionedLease pending_;           ///< The latest write.
+  VersionedLease pending_write_;     ///< The latest write.
   std::optional<MonotonicTime> unconfirmed_write_at_;  ///< Set while a write's outcome is unknown.
   bool call_pending_ = false;
   MonotonicTime next_poll_{};
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -17,7 +17,7 @@
 
 /// One in this many heartbeats also contacts an address from `set_hints`, to heal a network
 /// partition.
-constexpr std::uint64_t kHintInterval = 8;
+constexpr std::uint64_t kHeartbeatsPerHint = 8;
 
 bool supersedes(const MemberFact& candidate, const MemberFact& known) {
   if (candidate.incarnation != known.incarnation) {
@@ -43,17 +43,17 @@
     : self_(std::move(self)), settings_(settings), random_(seed) {}
 
 std::vector<HeartbeatTarget> Membership::tick(MonotonicTime now) {
-  check_answers(now);
+  check_timeouts(now);
   std::vector<HeartbeatTarget> targets;
   add_retries(now, targets);
   if (now < next_heartbeat_) return targets;
   next_heartbeat_ = now + settings_.heartbeat_interval;
   add_member_target(now, targets);
-  if (members_.empty() || random_() % kHintInterval == 0) add_hint_target(targets);
+  if (members_.empty() || random_() % kHeartbeatsPerHint == 0) add_hint_target(targets);
   return targets;
 }
 
-void Membership::check_answers(MonotonicTime now) {
+void Membership::check_timeouts(MonotonicTime now) {
   for (auto entry = members_.begin(); entry != members_.end();) {
     Entry& member = entry->second;
     const bool timed_out = member.awaiting_answer_since &&
@@ -120,10 +120,10 @@
 std::vector<MemberFact> Membership::facts_to_send(const NodeId& to) {
   std::vector<MemberFact> facts{self_};
   const auto target = members_.find(to);
-  const bool reported_down =
+  const bool suspect_or_dead =
       target != members_.end() && (target->second.fact.state == MemberState::kDead ||
                                    target->second.fact.state == MemberState::kSuspect);
-  if (reported_down) facts.push_back(target->second.fact);
+  if (suspect_or_dead) facts.push_back(target->second.fact);
   std::vector<Entry*> pending;
   for (auto& [node, entry] : members_) {
     if (entry.sends_left > 0) pending.push_back(&entry);
@@ -229,8 +229,8 @@
 }
 
 int Membership::gossip_sends() const {
-  const auto size = static_cast<double>(members_.size() + 2);
-  return kSendsPerDoubling * static_cast<int>(std::ceil(std::log2(size)));
+  const auto cluster_size = static_cast<double>(members_.size() + 2);
+  return kSendsPerDoubling * static_cast<int>(std::ceil(std::log2(cluster_size)));
 }
 
 std::uint64_t rendezvous_score(const std::string& duty, const NodeId& node) {
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -114,7 +114,7 @@
   void merge(MonotonicTime now, const MemberFact& fact);
   void refute(const MemberFact& fact);
   void set_state(MonotonicTime now, Entry& entry, MemberState state);
-  void check_answers(MonotonicTime now);
+  void check_timeouts(MonotonicTime now);
   void record_miss(MonotonicTime now, Entry& entry);
   void add_retries(MonotonicTime now, std::vector<HeartbeatTarget>& targets);
   void add_member_target(MonotonicTime now, std::vector<HeartbeatTarget>& targets);
--- a/src/core/requests/claim_group.cpp
+++ b/src/core/requests/claim_group.cpp
@@ -94,7 +94,7 @@
   complete_ = complete_ || served_new_view;
   // Otherwise only a replica that served the previous view knows its grants there.
   if (!served_new_view && result.served_view != record_.previous_view) {
-    sealed_without_history_.insert(node);
+    sealed_without_claims_.insert(node);
     return;
   }
   if (!sealed_.insert(node).second) return;
@@ -107,12 +107,12 @@
          is_majority(sealed_.size(), record_.previous_members.size());
 }
 
-bool ClaimTakeover::history_lost() const {
-  return !sealed() && is_majority(sealed_.size() + sealed_without_history_.size(),
+bool ClaimTakeover::claims_lost() const {
+  return !sealed() && is_majority(sealed_.size() + sealed_without_claims_.size(),
                                   record_.previous_members.size());
 }
 
-void ClaimTakeover::accept_history_loss() {
+void ClaimTakeover::accept_lost_claims() {
   complete_ = true;
   grant_delay_ = retention_;
 }
@@ -126,7 +126,7 @@
   return members;
 }
 
-bool ClaimTakeover::installed() const {
+bool ClaimTakeover::majority_installed() const {
   return is_majority(installed_.size(), record_.members.size());
 }
 
--- a/src/core/requests/claim_group.hpp
+++ b/src/core/requests/claim_group.hpp
@@ -68,10 +68,10 @@
 
   /// @return whether a majority is sealed, but too many of its members restarted and lost their
   /// claims.
-  bool history_lost() const;
+  bool claims_lost() const;
 
   /// Continues without the lost claims: nothing is granted until they have expired.
-  void accept_history_loss();
+  void accept_lost_claims();
 
   /// @return how long the new view must not grant.
   Duration grant_delay() const { return grant_delay_; }
@@ -86,7 +86,7 @@
   void on_installed(const NodeId& node) { installed_.insert(node); }
 
   /// @return whether a majority of the new view installed it, so that the record may become stable.
-  bool installed() const;
+  bool majority_installed() const;
 
  private:
   ClaimGroupRecord record_;
@@ -94,7 +94,7 @@
   Duration retention_;
   Duration grant_delay_{0};
   std::set<NodeId> sealed_;
-  std::set<NodeId> sealed_without_history_;  ///< Sealed, but did not serve the previous view.
+  std::set<NodeId> sealed_without_claims_;  ///< Sealed, but did not serve the previous view.
   std::set<NodeId> installed_;
   std::vector<ClaimEntry> entries_;
 };
--- a/src/core/requests/claim_replica.cpp
+++ b/src/core/requests/claim_replica.cpp
@@ -44,7 +44,7 @@
 }
 
 SealResult ClaimReplica::seal(MonotonicTime now, ClaimView view) {
-  sealed_view_ = std::max(sealed_view_, view);
+  min_view_ = std::max(min_view_, view);
   SealResult result;
   result.served_view = served_view_;
   result.grant_delay = std::max(Duration::zero(), grants_start_at_ - now);
@@ -58,13 +58,13 @@
                            const std::vector<ClaimEntry>& entries, Duration grant_delay) {
   if (boot != boot_) return false;
   // A delayed install of an older view must not undo the seal of a newer view.
-  if (view < sealed_view_ || view < served_view_) return false;
+  if (view < min_view_ || view < served_view_) return false;
   for (const ClaimEntry& entry : entries) {
     claims_.try_emplace(entry.key, Claim{entry.claimant, now - entry.age});
   }
   grants_start_at_ = std::max(grants_start_at_, now + grant_delay);
   served_view_ = view;
-  sealed_view_ = view;
+  min_view_ = view;
   return true;
 }
 
--- a/src/core/requests/claim_replica.hpp
+++ b/src/core/requests/claim_replica.hpp
@@ -74,7 +74,7 @@
                const std::vector<ClaimEntry>& entries, Duration grant_delay = Duration::zero());
 
   /// @return the view under which claims are granted; zero: none.
-  ClaimView active_view() const { return sealed_view_ > served_view_ ? 0 : served_view_; }
+  ClaimView active_view() const { return min_view_ > served_view_ ? 0 : served_view_; }
 
   std::size_t size() const { return claims_.size(); }
 
@@ -91,7 +91,7 @@
   std::size_t max_claims_;
   ClaimView served_view_ =
       0;  ///< Latest installed view. All claims granted here under it are in `claims_`.
-  ClaimView sealed_view_ = 0;  ///< Nothing is granted below this view.
+  ClaimView min_view_ = 0;  ///< Nothing is granted below this view.
   std::unordered_map<ClaimKey, Claim> claims_;
   MonotonicTime next_expiry_at_{};
   MonotonicTime grants_start_at_{};
--- a/src/core/roles/engine_controller.cpp
+++ b/src/core/roles/engine_controller.cpp
@@ -54,8 +54,9 @@
                                  const std::vector<ModelSpec>& models, Duration drain_timeout) {
   models_ = models;
   drain_timeout_ = drain_timeout;
-  const std::set<EngineId> wanted(engines.begin(), engines.end());
-  std::erase_if(engines_, [&wanted](const auto& entry) { return !wanted.contains(entry.first); });
+  const std::set<EngineId> configured(engines.begin(), engines.end());
+  std::erase_if(engines_,
+                [&configured](const auto& entry) { return !configured.contains(entry.first); });
   for (const EngineId& engine : engines) engines_.try_emplace(engine);
 }
 
--- a/src/core/usage/true_time.cpp
+++ b/src/core/usage/true_time.cpp
@@ -17,23 +17,23 @@
 
 UnixMs TrueTime::update(MonotonicTime now, UnixMs time_of_day) {
   const UnixMs deviation = time_of_day - this->local_time(now);
-  const UnixMs change = deviation - this->step_ms;
+  const UnixMs change = deviation - this->jump_ms;
   if (std::abs(change) < this->settings.max_slew_ms) {
     this->offset_ms += change;
-    const bool accepted = this->step_at && now - *this->step_at >= this->settings.step_accept_delay;
+    const bool accepted = this->jump_at && now - *this->jump_at >= this->settings.jump_accept_delay;
     if (!accepted) return 0;
-    this->offset_ms += this->step_ms;
-    this->step_ms = 0;
-    this->step_at.reset();
+    this->offset_ms += this->jump_ms;
+    this->jump_ms = 0;
+    this->jump_at.reset();
     return 0;
   }
-  this->step_ms = deviation;
-  this->step_at.reset();
+  this->jump_ms = deviation;
+  this->jump_at.reset();
   if (std::abs(deviation) < this->settings.max_slew_ms) {
     this->offset_ms += deviation;
-    this->step_ms = 0;
+    this->jump_ms = 0;
   } else {
-    this->step_at = now;
+    this->jump_at = now;
   }
   return change;
 }
--- a/src/core/usage/true_time.hpp
+++ b/src/core/usage/true_time.hpp
@@ -20,7 +20,7 @@
   UnixMs max_slew_ms = 20;
   /// A jump that has lasted this long is accepted as a correction. Longer than the hour that a
   /// mistaken one may last.
-  Duration step_accept_delay = std::chrono::hours(2);
+  Duration jump_accept_delay = std::chrono::hours(2);
   /// Clocks needed for a median, this node's own included.
   std::size_t min_clocks = 3;
   /// Clocks received longer ago are ignored.
@@ -69,8 +69,8 @@
 
   TrueTimeSettings settings;
   UnixMs offset_ms;  ///< From the monotonic clock to local time.
-  std::optional<MonotonicTime> step_at;
-  UnixMs step_ms = 0;
+  std::optional<MonotonicTime> jump_at;
+  UnixMs jump_ms = 0;
   UnixMs correction_ms = 0;
   std::map<NodeId, PeerClock> peer_clocks;
 };
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -281,7 +281,7 @@
   const auto still_current = [this, view] {
     return takeover_ && takeover_->record().view == view && !record_.stable;
   };
-  if (takeover_->installed()) {
+  if (takeover_->majority_installed()) {
     ClaimGroupRecord stable = record_;
     stable.stable = true;
     return write_record(stable);
@@ -290,9 +290,9 @@
   std::set<NodeId> members;
   for (const ClaimMember& member : record_.members) members.insert(member.node);
   if (try_change_group(members)) return;
-  if (takeover_->history_lost() && ++takeover_ticks_ > kHistoryLossTicks) {
+  if (takeover_->claims_lost() && ++takeover_ticks_ > kHistoryLossTicks) {
     log_event(LogArea::kControl, LogLevel::kWarning, "claims_lost", {{"view", view}});
-    takeover_->accept_history_loss();
+    takeover_->accept_lost_claims();
   }
   if (!takeover_->sealed()) {
     for (const ClaimMember& member : takeover_->members_to_seal()) {
--- a/src/store/kind_watch.cpp
+++ b/src/store/kind_watch.cpp
@@ -54,7 +54,7 @@
         list_timeout_(settings.list_timeout),
         wait_(settings.wait),
         freshness_(settings.freshness),
-        confirm_lists_(settings.confirm_first_list) {}
+        confirm_next_list_(settings.confirm_first_list) {}
 
   void list() { list(freshness_); }
 
@@ -154,8 +154,8 @@
     }
     on_success(list_freshness_);
     const bool was_listed = std::exchange(listed_, true);
-    const bool confirm = list_freshness_ == Freshness::kMayLag && confirm_lists_;
-    confirm_lists_ = true;
+    const bool confirm = list_freshness_ == Freshness::kMayLag && confirm_next_list_;
+    confirm_next_list_ = true;
     if (confirm) {
       // The list may be older than the known state. It is applied once a watch has returned the
       // changes since.
@@ -312,7 +312,7 @@
   Freshness freshness_;
   Freshness list_freshness_ = Freshness::kLatest;   ///< Of the list in flight.
   Freshness watch_freshness_ = Freshness::kLatest;  ///< Of the watch in flight.
-  bool confirm_lists_;
+  bool confirm_next_list_;
   std::optional<ObjectList> unconfirmed_list_;  ///< Waits for the changes since.
   std::uint64_t revision_ = 0;
   std::uint64_t hinted_revision_ = 0;  ///< Newest revision of all hints.
--- a/tests/core/requests/claims_test.cpp
+++ b/tests/core/requests/claims_test.cpp
@@ -64,7 +64,7 @@
       const SealResult result = replica_of(target.node).seal(now, stored.view);
       if (!drop_message()) takeover.on_sealed(target.node, result);
     }
-    if (takeover.history_lost()) takeover.accept_history_loss();
+    if (takeover.claims_lost()) takeover.accept_lost_claims();
     for (const ClaimMember& target : takeover.members_to_install()) {
       const ClaimView view = stored.view;
       const auto install = [this, target, view, entries = takeover.entries(),
@@ -75,7 +75,7 @@
       delayed_installs.push_back(install);
       if (!drop_message() && install() && !drop_message()) takeover.on_installed(target.node);
     }
-    if (takeover.sealed() && takeover.installed() && !drop_message()) stored.stable = true;
+    if (takeover.sealed() && takeover.majority_installed() && !drop_message()) stored.stable = true;
   }
 
   std::mt19937_64 random;
