--- a/src/bench/hollow_command.cpp
+++ b/src/bench/hollow_command.cpp
@@ -126,7 +126,8 @@
     output << std::endl;
   }
 
-  /// Resolution of the settle times.
+  /// How often `run_until` checks its condition; the resolution of the settle times, the times that
+  /// the fleet takes to reach the expected state.
   static constexpr Duration kPollInterval = std::chrono::milliseconds(250);
 
   /// Runs until `condition` holds, at most 5 simulated minutes. @return the elapsed seconds.
--- a/src/bench/hollow_command.hpp
+++ b/src/bench/hollow_command.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The command `hollow`: runs many nodes in one process, with the real code and codec on a
-/// simulated network, to measure how control-plane cost grows with the fleet.
+/// The command `hollow`: measures how control-plane cost grows with the fleet. Hollow nodes run the
+/// production code and codec, many of them in one process, on a simulated network.
 #pragma once
 
 #include <iosfwd>
--- a/src/bench/keys_command.cpp
+++ b/src/bench/keys_command.cpp
@@ -20,7 +20,7 @@
   return "key-" + std::to_string(tenant) + "-" + std::to_string(key);
 }
 
-/// Hashes the keys as the adapter does when it receives a configuration.
+/// Hashes the keys as the platform adapter does when it decodes a tenant (platform/codec.cpp).
 relay::RouteConfiguration make_configuration(const KeysSettings& settings) {
   relay::RouteConfiguration configuration;
   configuration.version = 1;
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -46,7 +46,8 @@
                std::initializer_list<LogField> fields = {},
                LogImportance importance = LogImportance::kOutcome);
 
-/// @return `text`, quoted and escaped if it contains anything but plain characters.
+/// @return `text`, quoted and escaped if it is empty or contains anything but letters, digits and
+/// `_-.:/@+%,`.
 std::string escape_log_value(std::string_view text);
 
 }  // namespace shuntbank
--- a/src/config/field_reader.hpp
+++ b/src/config/field_reader.hpp
@@ -19,16 +19,19 @@
 /// Reader of one JSON object. Call `finish` last: it reports unknown fields.
 class FieldReader {
  public:
-  /// @param place prefix of each finding's place, such as a file name and a JSON pointer.
+  /// @param place location of the object, such as a file name and a JSON pointer; the place of each
+  /// finding starts with it.
   FieldReader(const nlohmann::json& object, std::string place, Findings& findings);
 
   /// @return the string; empty, with a finding, if it is absent though required, or not a string.
   std::string text(const std::string& key, bool required);
 
-  /// @return the number within [low, high], or `fallback` when absent or (with a finding) invalid.
+  /// @return the number within [low, high], or `fallback` when absent or invalid; a finding when
+  /// invalid.
   double number(const std::string& key, double fallback, double low, double high);
 
-  /// @return the integer within [0, high], or `fallback` when absent or (with a finding) invalid.
+  /// @return the integer within [0, high], or `fallback` when absent or invalid; a finding when
+  /// invalid.
   std::uint64_t unsigned_integer(const std::string& key, std::uint64_t fallback,
                                  std::uint64_t high);
 
@@ -36,7 +39,7 @@
   std::int64_t integer(const std::string& key, std::int64_t fallback, std::int64_t low,
                        std::int64_t high);
 
-  /// @return the duration within [low, high], or `fallback` when absent or (with a finding)
+  /// @return the duration within [low, high], or `fallback` when absent or invalid; a finding when
   /// invalid.
   Duration duration(const std::string& key, Duration fallback, Duration low, Duration high);
 
--- a/src/config/object_codec.hpp
+++ b/src/config/object_codec.hpp
@@ -12,7 +12,7 @@
 
 /// Reads and validates the fields of one object.
 /// @param spec the object's fields without its kind and name.
-/// @param place prefix of each finding's place.
+/// @param place location of the object; the place of each finding starts with it.
 /// @return the object; valid only if no finding was added.
 DeclaredObject read_object(ObjectKind kind, const std::string& name, const nlohmann::json& spec,
                            const std::string& place, Findings& findings);
--- a/src/config/option_set.hpp
+++ b/src/config/option_set.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Program options, read from the command line and a settings file.
-/// All findings are reported together, each with its file, line and option.
+/// All findings (validation errors) are reported together, each with its file, line and option.
 #pragma once
 
 #include <functional>
--- a/src/engine/engine_api.hpp
+++ b/src/engine/engine_api.hpp
@@ -29,7 +29,8 @@
 /// Set to `not_run` on an error when the engine confirms that it ran nothing.
 constexpr const char* kOutcomeHeader = "X-Engine-Outcome";
 constexpr const char* kNotRun = "not_run";
-/// Load at the time of the reply, as `running/waiting/waiting tokens`.
+/// Load at the time of the reply: running requests, waiting requests, and prompt tokens not yet
+/// prefilled, as `RUNNING/WAITING/TOKENS`.
 constexpr const char* kLoadHeader = "X-Engine-Load";
 
 nlohmann::json to_json(const DesiredState& desired);
--- a/src/engine/engine_client.hpp
+++ b/src/engine/engine_client.hpp
@@ -14,7 +14,7 @@
 /// Why a control call returned no state.
 enum class EngineCallError {
   kNoAnswer,  ///< No usable answer; the call may have taken effect.
-  kStale,     ///< The engine refused: it already has a newer fence or order.
+  kStale,     ///< The engine refused: it already has a higher fence or a newer order.
 };
 
 /// Sends claims, orders and state queries to engines.
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -23,7 +23,8 @@
 /// How often a coordinator rereads the store while its view is unstable.
 constexpr int kRereadTicks = 10;
 
-/// Consecutive ticks a group change must be due before it is made, to ignore brief failures.
+/// Consecutive ticks in which `next_claim_group` must propose a change of the claim group before
+/// the change is written, to ignore brief failures.
 constexpr int kGroupChangeTicks = 3;
 
 std::string record_key(const RegionName& region) {
--- a/src/node/claim_service.hpp
+++ b/src/node/claim_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Idempotency claims: claims a key at the group's replicas before a run-once request is
-/// dispatched, serves as a replica, and coordinates the group when this node holds that duty.
+/// Idempotency claims: claims a key at the replicas of the claim group before a run-once request is
+/// dispatched, serves as a replica, and coordinates the group while this node is its coordinator.
 #pragma once
 
 #include <functional>
--- a/src/node/request_session.cpp
+++ b/src/node/request_session.cpp
@@ -302,7 +302,7 @@
 void RequestSession::on_complete_answer() {
   const bool from_current_attempt =
       headers_.get(engine_api::kAttemptIdHeader) == progress_.current_attempt().value();
-  // An answer with another attempt ID does not belong to this request.
+  // An answer with another attempt ID does not belong to the current attempt.
   if (!from_current_attempt || reply_overflow_)
     return on_attempt_failed(AttemptFailure::kUncertain);
   HttpReply reply;
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -37,7 +37,7 @@
   std::unique_ptr<SimulatedHttpClient> http;
   std::unique_ptr<SimulatedTransport> transport;
   std::unique_ptr<Node> node;
-  std::uint64_t boot = 0;
+  std::uint64_t boot = 0;  ///< Number of the process start; unique in the fleet.
   Revision last_revision = 0;
   bool has_left = false;
 };
@@ -442,7 +442,7 @@
   for (const auto& engine : engines_) {
     for (const Execution& execution : engine->standin->emulator().executions()) {
       const std::size_t slash = execution.user.find('/');
-      // Prefill and decode of one run share an attempt.
+      // The prefill and decode executions of one attempt have the same attempt ID.
       const std::string request_key = execution.user.substr(0, slash);
       const std::string attempt = execution.attempt.value();
       runs_of_try[execution.user.substr(slash + 1)] += 1;
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A simulated site: production node code, stand-ins for engines and platform, callers, operators.
+/// A simulated fleet: nodes that run the production code, stand-ins for engines and platform,
+/// callers and operators.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 namespace shuntbank::simulation {
 
-/// Shape of a simulated site.
+/// Size and topology of a simulated fleet.
 struct FleetSettings {
   int nodes = 3;
   int engines = 4;
@@ -100,7 +101,7 @@
   /// @return the first invariant violated now, or empty text.
   std::string check();
 
-  /// @return the first invariant violated by a site that has healed and settled, or empty text.
+  /// @return the first invariant violated by a fleet that has healed and settled, or empty text.
   std::string check_settled();
 
   /// @return whether the node's process is alive, possibly frozen.
--- a/src/simulation/schedule.cpp
+++ b/src/simulation/schedule.cpp
@@ -203,7 +203,7 @@
     fleet_.heal_all();
     for (int i = 0; i < 15 && result_.violation.empty(); ++i) {
       fleet_.run_for(kSettleTime / 15);
-      // Restarts the nodes that have finished leaving since.
+      // Restarts the nodes that have finished leaving since the first `heal_all`.
       if (i == 2) fleet_.heal_all();
       result_.violation = fleet_.check();
     }
--- a/src/standin/engine_emulator.hpp
+++ b/src/standin/engine_emulator.hpp
@@ -49,7 +49,7 @@
   AttemptId attempt;
   std::string user;  ///< The caller's `user` field; identifies the request in tests.
   JobPart part = JobPart::kWhole;
-  std::string model;  ///< `model` or `model:adapter`; empty for a plain service.
+  std::string model;  ///< `model` or `model:adapter`; empty for `ServiceKind::kPlain`.
   std::uint64_t prompt_tokens = 1;
   std::vector<std::uint64_t> blocks;  ///< Prefix blocks of the prompt.
   std::uint32_t output_tokens = 1;
@@ -94,7 +94,7 @@
 /// A change of the prefix cache. Numbers are consecutive, so that a reader detects lost events.
 struct CacheEvent {
   std::uint64_t number = 0;
-  MonotonicTime at{};  ///< Time of the change; published later.
+  MonotonicTime at{};  ///< Time of the change; the engine stand-in publishes it later.
   bool inserted = true;
   std::vector<std::uint64_t> blocks;
 };
--- a/src/standin/platform_standin.hpp
+++ b/src/standin/platform_standin.hpp
@@ -72,8 +72,8 @@
   std::map<std::string, Object> objects_;
   std::uint64_t last_version_ = 0;
   std::list<Watch> watches_;
-  nlohmann::json machines_ = nlohmann::json::object();            ///< Current state.
-  nlohmann::json published_machines_ = nlohmann::json::object();  ///< Lags behind.
+  nlohmann::json machines_ = nlohmann::json::object();            ///< As registered.
+  nlohmann::json published_machines_ = nlohmann::json::object();  ///< As listed; lags behind.
   double weight_tokens_ = 0;
   MonotonicTime weight_refilled_at_;
   std::map<std::string, std::uint64_t> request_counts_;  ///< Requests by method and path.
--- a/tests/platform/support/soak_site.cpp
+++ b/tests/platform/support/soak_site.cpp
@@ -40,8 +40,8 @@
 constexpr std::size_t kStormLinkBytesPerSecond = 1'000'000;
 constexpr std::chrono::milliseconds kStormGap{350};
 
-/// Versions for which an added route is retained in storms; lasts longer than the recovery timeout,
-/// so that probes can find the route.
+/// With `storms`: number of configuration versions that contain an added route, from the version
+/// that adds it. They take longer than the recovery timeout, so that probes can find the route.
 constexpr std::uint64_t kStormRouteVersions = 120;
 
 /// Time within which a site must serve again after its faults are cleared.
@@ -553,7 +553,7 @@
   this->check_configuration();
 }
 
-/// @return whether nearly all requests that end in the next interval complete.
+/// Waits 2 s. @return whether nearly all requests that ended in that time completed.
 bool SoakSite::serves_normally() {
   const CallerCounts before = this->counts();
   this->wait(2s);
--- a/tests/platform/support/soak_site.hpp
+++ b/tests/platform/support/soak_site.hpp
@@ -32,7 +32,8 @@
   bool storms = false;  ///< Large configurations in quick succession, over slow links to the store.
   /// Engines drain during store outages, half of them shed all requests, and registrations lapse.
   bool engine_notices = false;
-  /// Engines announce request rate limits: steady, falling, rising, zero, or half of them at once.
+  /// Engines announce request rate limits, which may be zero: either one engine a steady, falling
+  /// or rising limit, or half of the engines the same steady limit at once.
   bool engine_limits = false;
   /// Path of an earlier version for a rolling downgrade and upgrade; may be empty. Engine limits
   /// are not checked for its nodes.
@@ -101,7 +102,7 @@
   std::vector<std::string> fault_log;
   std::uint64_t version = 0;
   bool bootstrap = true;
-  std::mt19937_64 crash_random;  ///< Separate generators, so that options do not shift `random`.
+  std::mt19937_64 crash_random;  ///< Separate, so that options do not change the draws of `random`.
   std::mt19937_64 storm_random;
   std::mt19937_64 notice_random;
   std::mt19937_64 limit_random;
--- a/tests/process/support/site.hpp
+++ b/tests/process/support/site.hpp
@@ -67,7 +67,8 @@
   /// @return the node that holds the lease of the model service, or -1.
   int lease_holder();
 
-  /// @return whether the claim group has three members that serve its view.
+  /// @return whether the claim group is stable and has three members, and all nodes have
+  /// activated its newest view.
   bool claims_are_ready();
 
   /// Starts a node and registers it at the platform.
--- a/tests/store/kind_watch_test.cpp
+++ b/tests/store/kind_watch_test.cpp
@@ -29,8 +29,8 @@
   void start() {
     watch = std::make_unique<store::KindWatch>(runtime, store, "k", settings, handlers);
   }
-  /// Starts with one object and a long wait, then changes the store without notifying the watch in
-  /// flight.
+  /// Starts with one object and a long-poll timeout of 30 s, then changes the store without
+  /// notifying the watch in flight.
   void start_and_miss_change(const std::string& name) {
     store.put("k", "a", {});
     settings.wait = 30s;
@@ -40,8 +40,8 @@
     store.put("k", name, {});
     store.drop_notifications = false;
   }
-  /// Starts with one object, a long wait and `kMayLag`, then freezes the replica and changes the
-  /// store.
+  /// Starts with one object, a long-poll timeout of 30 s and `kMayLag`, then freezes the replica
+  /// and changes the store.
   void start_with_stale_replica(const std::string& name) {
     store.put("k", "a", {});
     settings.freshness = store::Freshness::kMayLag;
@@ -128,7 +128,7 @@
   fixture.watch->hint(fixture.store.revision());
   fixture.runtime.advance(fixture.settings.hint_grace + 20ms);
   fixture.store.remove("k", "b");
-  // The cancelled call would return both changes after the second one is already known.
+  // The cancelled call would return both the addition and the removal of `b`.
   fixture.runtime.advance(fixture.settings.batch_delay + 20ms);
   cr_assert_eq(fixture.names, std::set<std::string>{"a"});
 }
@@ -257,7 +257,8 @@
 }
 
 Test(kind_watch, does_not_request_the_latest_state_during_the_batch_delay) {
-  // Guards against expensive calls for the latest state when hints arrive during the batch delay.
+  // Guards against expensive calls for the latest state when hints of newer revisions arrive during
+  // the batch delay.
   WatchFixture fixture;
   fixture.settings.freshness = store::Freshness::kMayLag;
   fixture.settings.confirm_first_list = false;
