--- a/src/common/units.cpp
+++ b/src/common/units.cpp
@@ -18,9 +18,9 @@
 
 /// Parses a non-negative integer followed by a unit suffix, and multiplies by the unit's factor.
 template <std::size_t N>
-tl::expected<std::int64_t, std::string> parse_scaled(std::string_view text,
-                                                     const std::array<Unit, N>& units,
-                                                     const char* accepted) {
+tl::expected<std::int64_t, std::string> parse_with_unit(std::string_view text,
+                                                        const std::array<Unit, N>& units,
+                                                        const char* accepted) {
   std::int64_t number = 0;
   const char* end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, number);
@@ -41,14 +41,14 @@
 }  // namespace
 
 tl::expected<Duration, std::string> parse_duration(std::string_view text) {
-  return parse_scaled(text, kDurationUnits,
-                      "a duration: a whole number with the suffix us, ms, s, m or h")
+  return parse_with_unit(text, kDurationUnits,
+                         "a duration: a whole number with the suffix us, ms, s, m or h")
       .map([](std::int64_t value) { return Duration(value); });
 }
 
 tl::expected<std::uint64_t, std::string> parse_byte_size(std::string_view text) {
-  return parse_scaled(text, kSizeUnits,
-                      "a size: a whole number of bytes, or with the suffix KiB, MiB or GiB")
+  return parse_with_unit(text, kSizeUnits,
+                         "a size: a whole number of bytes, or with the suffix KiB, MiB or GiB")
       .map([](std::int64_t value) { return static_cast<std::uint64_t>(value); });
 }
 
--- a/src/config/option_set.cpp
+++ b/src/config/option_set.cpp
@@ -183,8 +183,8 @@
       continue;
     }
     std::vector<std::string> group{argument};
-    const bool takes_next = equals == std::string::npos && !option->is_flag;
-    if (takes_next && i + 1 < arguments.size()) group.push_back(arguments[++i]);
+    const bool value_is_next_argument = equals == std::string::npos && !option->is_flag;
+    if (value_is_next_argument && i + 1 < arguments.size()) group.push_back(arguments[++i]);
     try {
       const auto parsed = po::command_line_parser(group).options(description).style(style).run();
       for (const auto& item : parsed.options) {
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -21,7 +21,7 @@
   std::string node = "127.0.0.1:8081";
   std::vector<std::string> files;
   std::vector<std::string> positional;
-  std::string output = "table";
+  std::string output_format = "table";
   std::string tenant;
   Duration grace = Duration::zero();
   bool remove = false;
@@ -33,7 +33,7 @@
   std::ostream& output;
   std::ostream& errors;
 
-  bool as_json() const { return options.output == "json"; }
+  bool as_json() const { return options.output_format == "json"; }
 };
 
 void add_node_options(OptionSet& set, CtlOptions& options) {
@@ -43,7 +43,7 @@
             if (text != "table" && text != "json") {
               return tl::make_unexpected("'" + text + "' is neither table nor json");
             }
-            options.output = text;
+            options.output_format = text;
             return {};
           });
 }
--- a/src/engine/engine_api.cpp
+++ b/src/engine/engine_api.cpp
@@ -29,12 +29,12 @@
   return *role;
 }
 
-DesiredState parse_desired(const nlohmann::json& json) {
+DesiredState parse_desired_state(const nlohmann::json& json) {
   return {role_from_json(json.at("role")), models_from_json(json.at("models")),
           json.at("accepting").get<bool>()};
 }
 
-OrderStamp parse_stamp(const nlohmann::json& json) {
+OrderStamp parse_order_stamp(const nlohmann::json& json) {
   return {json.at("fence").get<Fence>(), json.at("sequence").get<Sequence>()};
 }
 
@@ -56,8 +56,8 @@
           {"accepting", desired.accepting}};
 }
 
-tl::expected<DesiredState, std::string> desired_from_json(const nlohmann::json& json) {
-  return try_parse<DesiredState>([&] { return parse_desired(json); });
+tl::expected<DesiredState, std::string> desired_state_from_json(const nlohmann::json& json) {
+  return try_parse<DesiredState>([&] { return parse_desired_state(json); });
 }
 
 nlohmann::json to_json(const EngineOrder& order) {
@@ -68,7 +68,7 @@
 
 tl::expected<EngineOrder, std::string> order_from_json(const nlohmann::json& json) {
   return try_parse<EngineOrder>([&] {
-    return EngineOrder{parse_stamp(json), parse_desired(json.at("desired"))};
+    return EngineOrder{parse_order_stamp(json), parse_desired_state(json.at("desired"))};
   });
 }
 
@@ -85,8 +85,8 @@
 tl::expected<EngineState, std::string> state_from_json(const nlohmann::json& json) {
   return try_parse<EngineState>([&] {
     EngineState state;
-    state.stamp = parse_stamp(json);
-    state.desired = parse_desired(json.at("desired"));
+    state.stamp = parse_order_stamp(json);
+    state.desired = parse_desired_state(json.at("desired"));
     state.role = role_from_json(json.at("role"));
     state.change_in_progress = json.at("changing").get<bool>();
     state.models = models_from_json(json.at("models"));
--- a/src/engine/engine_api.hpp
+++ b/src/engine/engine_api.hpp
@@ -34,7 +34,7 @@
 constexpr const char* kLoadHeader = "X-Engine-Load";
 
 nlohmann::json to_json(const DesiredState& desired);
-tl::expected<DesiredState, std::string> desired_from_json(const nlohmann::json& json);
+tl::expected<DesiredState, std::string> desired_state_from_json(const nlohmann::json& json);
 
 nlohmann::json to_json(const EngineOrder& order);
 tl::expected<EngineOrder, std::string> order_from_json(const nlohmann::json& json);
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -27,7 +27,7 @@
 /// the change is written, to ignore brief failures.
 constexpr int kGroupChangeTicks = 3;
 
-std::string record_key(const RegionName& region) {
+std::string group_record_key(const RegionName& region) {
   return "claims/" + region.value();
 }
 
@@ -58,7 +58,7 @@
       ticker_(runtime, kTickInterval, [this] { tick(); }) {}
 
 std::vector<MemberFact> ClaimService::candidates() const {
-  return cluster_.candidates(record_key(region_), kCoordinatorCandidates);
+  return cluster_.candidates(group_record_key(region_), kCoordinatorCandidates);
 }
 
 bool ClaimService::is_coordinator() const {
@@ -212,7 +212,7 @@
 
 void ClaimService::read_record() {
   store_call_pending_ = true;
-  platform_.read(record_key(region_), [this](const auto& result) {
+  platform_.read(group_record_key(region_), [this](const auto& result) {
     store_call_pending_ = false;
     if (!result) return;
     record_loaded_ = true;
@@ -231,7 +231,7 @@
 void ClaimService::write_record(const ClaimGroupRecord& next) {
   store_call_pending_ = true;
   platform_.write(
-      record_key(region_), record_version_, to_json(next), [this, next](const auto& result) {
+      group_record_key(region_), record_version_, to_json(next), [this, next](const auto& result) {
         store_call_pending_ = false;
         // On no answer or a lost write race, reload the stored record.
         record_loaded_ = result && result->applied;
--- a/src/node/config_service.cpp
+++ b/src/node/config_service.cpp
@@ -50,26 +50,26 @@
 }
 
 void ConfigService::tick() {
-  if (read_pending_ || runtime_.now() < next_read_) return;
+  if (store_call_pending_ || runtime_.now() < next_read_) return;
   // A starting node reads the platform once, as a peer's revision may be stale.
   if (!ready()) return read_platform();
   if (is_store_reader()) watch_platform();
 }
 
 void ConfigService::read_platform() {
-  read_pending_ = true;
+  store_call_pending_ = true;
   platform_.read(kConfigKey, [this](const auto& result) { on_platform_value(result); });
 }
 
 void ConfigService::watch_platform() {
-  read_pending_ = true;
+  store_call_pending_ = true;
   platform_.watch(kConfigKey, platform_version_,
                   [this](const auto& result) { on_platform_value(result); });
 }
 
 void ConfigService::on_platform_value(
     const tl::expected<std::optional<VersionedValue>, PlatformError>& result) {
-  read_pending_ = false;
+  store_call_pending_ = false;
   platform_reachable_ = result.has_value();
   if (!result) {
     // Exponential backoff with jitter, to spare a recovering store.
--- a/src/node/config_service.hpp
+++ b/src/node/config_service.hpp
@@ -86,7 +86,7 @@
   std::mt19937_64 random_;
   std::uint64_t platform_version_ = 0;
   bool platform_reachable_ = false;
-  bool read_pending_ = false;
+  bool store_call_pending_ = false;
   bool pull_pending_ = false;
   MonotonicTime next_read_{};
   std::uint32_t consecutive_failures_ = 0;
--- a/src/node/control_service.cpp
+++ b/src/node/control_service.cpp
@@ -95,8 +95,8 @@
   const bool has_authority = duty.lease.authority(now).has_value();
   // Standbys poll less often, to let the preferred holder go first and limit the store's load.
   if (rank > 0 && !has_authority) {
-    if (now < duty.next_standby_poll) return;
-    duty.next_standby_poll = now + lease_settings_.duration / 2;
+    if (now < duty.next_standby_poll_at) return;
+    duty.next_standby_poll_at = now + lease_settings_.duration / 2;
   }
   switch (duty.lease.poll(now, rank >= 0, runtime_.random_hex(kWriteIdBytes))) {
     case LeaseAction::kNothing:
@@ -215,8 +215,8 @@
 void ControlService::plan_roles(const ServiceName& service, Duty& duty) {
   const MonotonicTime now = runtime_.now();
   const Service* declared = snapshot_->find_service(service);
-  if (now < duty.next_plan || !allows_disaggregation(*declared)) return;
-  duty.next_plan = now + kPlanInterval;
+  if (now < duty.next_plan_at || !allows_disaggregation(*declared)) return;
+  duty.next_plan_at = now + kPlanInterval;
   if (!duty.planner) {
     PlannerSettings settings;
     settings.role_change_cost = policy_for(service).role_change_cost;
--- a/src/node/control_service.hpp
+++ b/src/node/control_service.hpp
@@ -58,8 +58,8 @@
     std::unique_ptr<RolePlanner> planner;
     std::map<NodeId, DemandReport> demand;
     std::string plan = "none";
-    MonotonicTime next_plan{};
-    MonotonicTime next_standby_poll{};
+    MonotonicTime next_plan_at{};
+    MonotonicTime next_standby_poll_at{};
     ControlCounters initial_counters;         ///< Carried over from the previous controller.
     std::uint64_t previous_role_changes = 0;  ///< Made by previous controllers.
   };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -147,11 +147,12 @@
       const auto controller = control_.controller_of(name);
       if (service.kind != ServiceKind::kModel || !controller) continue;
       const auto found = demand.find(name);
-      const RequestQueue::Demand tokens =
+      const RequestQueue::Demand service_demand =
           found == demand.end() ? RequestQueue::Demand{} : found->second;
       const double seconds = to_seconds(kDemandReportInterval);
-      const DemandReport report{NodeId(settings_.name), name, tokens.prefill_tokens / seconds,
-                                tokens.decode_tokens / seconds};
+      const DemandReport report{NodeId(settings_.name), name,
+                                service_demand.prefill_tokens / seconds,
+                                service_demand.decode_tokens / seconds};
       if (controller->node == cluster_.self().node) {
         control_.on_demand(report);
       } else {
--- a/src/standin/engine_emulator.cpp
+++ b/src/standin/engine_emulator.cpp
@@ -193,9 +193,9 @@
 }
 
 double EngineEmulator::max_chunk_tokens() const {
-  const bool prefill_only = active_state_.role == EngineRole::kPrefill || decoding_.empty();
-  return static_cast<double>(prefill_only ? costs_.prefill_chunk_tokens
-                                          : costs_.mixed_chunk_tokens);
+  const bool no_decode_in_step = active_state_.role == EngineRole::kPrefill || decoding_.empty();
+  return static_cast<double>(no_decode_in_step ? costs_.prefill_chunk_tokens
+                                               : costs_.mixed_chunk_tokens);
 }
 
 void EngineEmulator::begin_step(MonotonicTime now) {
@@ -223,14 +223,14 @@
 }
 
 void EngineEmulator::end_step(std::vector<EngineEvent>& events) {
-  double budget = step_prefill_tokens_;
+  double step_tokens_left = step_prefill_tokens_;
   std::vector<AttemptId> prefilled;
   for (ActiveJob& active_job : waiting_) {
-    if (budget <= 0) break;
+    if (step_tokens_left <= 0) break;
     if (active_job.prefill_tokens_left <= 0) continue;
-    const double done = std::min(budget, active_job.prefill_tokens_left);
+    const double done = std::min(step_tokens_left, active_job.prefill_tokens_left);
     active_job.prefill_tokens_left -= done;
-    budget -= done;
+    step_tokens_left -= done;
     if (active_job.prefill_tokens_left <= 0) finish_prefill(active_job, events);
     if (active_job.job.part == JobPart::kPrefillOnly && active_job.prefill_tokens_left <= 0) {
       prefilled.push_back(active_job.job.attempt);
--- a/tests/net/http1_edges_test.cpp
+++ b/tests/net/http1_edges_test.cpp
@@ -326,9 +326,9 @@
 
 Test(http1_client, reports_nothing_sent_when_connection_is_refused) {
   asio::io_context loop;
-  asio::ip::tcp::acceptor unused(loop, kAnyPort);
-  const std::string url = "http://" + format_endpoint(unused.local_endpoint()) + "/";
-  unused.close();
+  asio::ip::tcp::acceptor closed_acceptor(loop, kAnyPort);
+  const std::string url = "http://" + format_endpoint(closed_acceptor.local_endpoint()) + "/";
+  closed_acceptor.close();
   PooledHttpClient client(loop, {});
   const FetchResult result = fetch(loop, client, make_request(url, "1"));
   cr_assert(result.failure == TransferFailure::kNothingSent);
@@ -403,13 +403,13 @@
   ScriptedPeer peer(loop, {{{sized_response("1", "piece")}}});
   PooledHttpClient client(loop, {});
   std::string received;
-  int offered = 0;
+  int on_data_calls = 0;
   bool done = false;
   TransferHandlers handlers;
   TransferId id = 0;
   handlers.on_headers = [](int, const HttpHeaders&) {};
   handlers.on_data = [&](std::string_view piece) {
-    if (++offered == 1) {
+    if (++on_data_calls == 1) {
       client.resume(id);
       return false;
     }
@@ -433,8 +433,8 @@
   static constexpr int kPieces = 6;
 
   /// @param piece_count pieces after which it stops sending.
-  TricklingServer(asio::io_context& own_loop, Duration gap, int piece_count)
-      : acceptor_(own_loop, kAnyPort), gap_(gap), remaining_(piece_count), timer_(own_loop) {
+  TricklingServer(asio::io_context& loop, Duration gap, int piece_count)
+      : acceptor_(loop, kAnyPort), gap_(gap), remaining_(piece_count), timer_(loop) {
     acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
       if (error) return;
       socket_ = std::move(socket);
@@ -471,14 +471,14 @@
 
 /// Fetches from a `TricklingServer`. @return the body or an error message.
 tl::expected<std::string, std::string> fetch_trickling(Duration gap, int piece_count,
-                                                       Duration answer_silence) {
+                                                       Duration answer_idle_timeout) {
   asio::io_context loop;
   TricklingServer server(loop, gap, piece_count);
   PooledHttpClient client(loop, {});
   OutgoingRequest request;
   request.url = "http://" + server.address() + "/";
   request.total_timeout = 1s;
-  request.answer_idle_timeout = answer_silence;
+  request.answer_idle_timeout = answer_idle_timeout;
   tl::expected<std::string, std::string> result;
   client.fetch(std::move(request), [&](const auto& reply) {
     if (reply) {
--- a/tests/platform/support/callers.cpp
+++ b/tests/platform/support/callers.cpp
@@ -42,7 +42,7 @@
       http(own_loop, {}),
       node_list(std::move(nodes)),
       random(seed),
-      ready_timer(own_loop) {}
+      readiness_check_timer(own_loop) {}
 
 void Callers::start(std::size_t callers) {
   this->check_readiness();
@@ -51,8 +51,8 @@
 
 void Callers::check_readiness() {
   for (std::size_t i = 0; i < this->node_list.size(); ++i) this->check_readiness(i);
-  this->ready_timer.expires_after(kReadyCheckInterval);
-  this->ready_timer.async_wait([this](const std::error_code& error) {
+  this->readiness_check_timer.expires_after(kReadyCheckInterval);
+  this->readiness_check_timer.async_wait([this](const std::error_code& error) {
     if (!error && !this->stopped) this->check_readiness();
   });
 }
--- a/tests/platform/support/callers.hpp
+++ b/tests/platform/support/callers.hpp
@@ -84,7 +84,7 @@
   PooledHttpClient http;
   std::vector<NodeEndpoints> node_list;
   std::mt19937_64 random;
-  asio::steady_timer ready_timer;
+  asio::steady_timer readiness_check_timer;
   CallerCounts totals;
   double cancel_share = 0.02;
   bool stopped = false;
--- a/tests/platform/support/engine_standin.cpp
+++ b/tests/platform/support/engine_standin.cpp
@@ -165,9 +165,9 @@
     return this->refuse(request, responder, 421);
   }
   if (request.path == "/v1/report") return this->report(responder);
-  if (request.path == "/v1/order") return this->order(request, responder);
-  constexpr std::string_view kHandle = "/v1/kv-handle/";
-  if (request.path.rfind(kHandle, 0) == 0) return responder->respond({200, {}, ""});
+  if (request.path == "/v1/order") return this->handle_order(request, responder);
+  constexpr std::string_view kKvHandlePrefix = "/v1/kv-handle/";
+  if (request.path.rfind(kKvHandlePrefix, 0) == 0) return responder->respond({200, {}, ""});
   this->accept(request, responder);
 }
 
@@ -179,7 +179,7 @@
   responder->respond({200, this->fields("", ""), body.dump()});
 }
 
-void EngineStandin::order(const HttpRequest& request, const Responder& responder) {
+void EngineStandin::handle_order(const HttpRequest& request, const Responder& responder) {
   const json body = json::parse(request.body, nullptr, false);
   const std::uint64_t fence = body.at("fence");
   if (fence < this->highest_fence) return responder->respond({412, {}, ""});
--- a/tests/platform/support/engine_standin.hpp
+++ b/tests/platform/support/engine_standin.hpp
@@ -96,7 +96,7 @@
   std::optional<int> refusal_status(EngineFault drawn, bool prefill_only) const;
   void prefill(const HttpRequest& request, const Responder& responder);
   void report(const Responder& responder);
-  void order(const HttpRequest& request, const Responder& responder);
+  void handle_order(const HttpRequest& request, const Responder& responder);
   void change_stage(const std::string& wanted);
   void start_run(const HttpRequest& request, const Responder& responder);
   void schedule_step(const RunPointer& run);
--- a/tests/platform/support/soak_site.cpp
+++ b/tests/platform/support/soak_site.cpp
@@ -140,7 +140,7 @@
 }
 
 void SoakSite::put_configuration() {
-  ++this->version;
+  ++this->configuration_version;
   json routes = json::array(
       {route("/stream/", "stream", "model", true), route("/ask/", "stream", "model", false),
        route("/once/", "unsafe", "plain", false), route("/safe/", "safe", "plain", false)});
@@ -149,12 +149,14 @@
     routes.push_back(route(filler.c_str(), "safe", "plain", false));
   }
   const std::uint64_t versions = this->options.storms ? kStormRouteVersions : 1;
-  for (std::uint64_t at = this->version; at > 0 && at + versions > this->version; --at) {
+  for (std::uint64_t at = this->configuration_version;
+       at > 0 && at + versions > this->configuration_version; --at) {
     const std::string added = "/added" + std::to_string(at) + "/";
     routes.push_back(route(added.c_str(), "safe", "plain", false));
   }
-  this->store.put("config", "main",
-                  {{"version", this->version}, {"routes", routes}, {"services", services()}});
+  this->store.put(
+      "config", "main",
+      {{"version", this->configuration_version}, {"routes", routes}, {"services", services()}});
 }
 
 void SoakSite::wait(std::chrono::milliseconds duration) {
@@ -210,7 +212,7 @@
   }
   if (this->options.crashing_requests) this->send_crashing_requests();
   if (this->options.storms) this->start_storm();
-  if (this->options.engine_notices) this->inject_notice_faults();
+  if (this->options.engine_notices) this->inject_engine_notices();
   if (this->options.engine_limits) this->inject_limit_changes();
   if (!this->options.previous_program.empty()) this->switch_next_program();
   this->wait(2s);
@@ -386,7 +388,7 @@
   this->schedule(pause, [this] { this->start_storm(); });
 }
 
-void SoakSite::inject_notice_faults() {
+void SoakSite::inject_engine_notices() {
   if (this->faults_cleared) return;
   const std::chrono::milliseconds duration(1000 + this->notice_random() % 4000);
   const std::size_t index = this->notice_random() % this->engines.size();
@@ -401,7 +403,7 @@
     this->log_fault("engine " + std::to_string(index) + " drains while the store is silent");
     this->drain_during_store_outage(engine);
   }
-  this->schedule(duration, [this] { this->inject_notice_faults(); });
+  this->schedule(duration, [this] { this->inject_engine_notices(); });
 }
 
 /// Half of the time a limit changes in steps; finally it is removed, or stays until the engine
@@ -567,7 +569,7 @@
 /// Every relay must eventually serve a newly added route.
 void SoakSite::check_configuration() {
   this->put_configuration();
-  const std::string target = "/added" + std::to_string(this->version) + "/";
+  const std::string target = "/added" + std::to_string(this->configuration_version) + "/";
   auto serving = std::make_shared<std::map<std::string, bool>>();
   const auto all_serve = [&] { return serving->size() == this->options.relay_count; };
   const auto end = std::chrono::steady_clock::now() + kRecoveryTimeout;
--- a/tests/platform/support/soak_site.hpp
+++ b/tests/platform/support/soak_site.hpp
@@ -72,7 +72,7 @@
   void send_crashing_requests();
   void start_storm();
   void run_storm(std::uint64_t left);
-  void inject_notice_faults();
+  void inject_engine_notices();
   void inject_limit_changes();
   void change_limit(std::size_t index, double per_second, int steps, double factor);
   void switch_next_program();
@@ -100,7 +100,7 @@
   std::vector<std::shared_ptr<asio::steady_timer>> timers;
   asio::steady_timer watchdog;
   std::vector<std::string> fault_log;
-  std::uint64_t version = 0;
+  std::uint64_t configuration_version = 0;
   bool bootstrap = true;
   std::mt19937_64 crash_random;  ///< Separate, so that options do not change the draws of `random`.
   std::mt19937_64 storm_random;
--- a/tests/process/failure_test.cpp
+++ b/tests/process/failure_test.cpp
@@ -45,10 +45,10 @@
   const Reply once = site.send_request(0, Site::completion("settle", 5), kNotRepeatable);
   cr_assert_eq(once.status, 502, "%d %s", once.status, once.body.c_str());
   cr_assert_eq(once.json["error"]["outcome"], "unknown");
-  cr_assert_eq(site.count_runs(request_id_of(once)), 1);
+  cr_assert_eq(site.count_executions(request_id_of(once)), 1);
   // A repeatable request is retried on another engine.
   const Reply repeated = site.send_request(0, Site::completion("lore", 5));
-  cr_assert_gt(site.count_runs(request_id_of(repeated)), 1);
+  cr_assert_gt(site.count_executions(request_id_of(repeated)), 1);
 }
 
 Test(failure, not_run_is_reported_only_when_nothing_ran) {
@@ -56,7 +56,7 @@
   for (std::size_t i = 0; i < 3; ++i) site.set_faults(site.engine(i), {{"refuse_requests", true}});
   const Reply refused = site.send_request(0, Site::completion("x", 5), kNotRepeatable);
   cr_assert_eq(refused.json["error"]["outcome"], "not_run", "%s", refused.body.c_str());
-  cr_assert_eq(site.count_runs(request_id_of(refused)), 0);
+  cr_assert_eq(site.count_executions(request_id_of(refused)), 0);
   for (auto& engine : site.engines) engine->kill();
   const Reply unreachable = site.send_request(0, Site::completion("x", 5), kNotRepeatable);
   cr_assert_eq(unreachable.json["error"]["outcome"], "not_run", "%s", unreachable.body.c_str());
@@ -175,9 +175,9 @@
   site.set_faults(site.platform_address(), {{"down", true}});
   cr_assert(eventually([&] { return site.lease_holder() < 0; }));
   cr_assert_eq(site.send_request(1, Site::completion("x", 5)).status, 200);
-  const Reply change = site.set_weight(0, "new", 0, 2);
-  cr_assert_eq(change.status, 503);
-  cr_assert_eq(change.json["changed"], "no");
+  const Reply rejection = site.set_weight(0, "new", 0, 2);
+  cr_assert_eq(rejection.status, 503);
+  cr_assert_eq(rejection.json["changed"], "no");
   // With the store back, the remaining nodes acquire the lease again.
   site.nodes[2]->kill();
   site.set_faults(site.platform_address(), {{"down", false}});
@@ -206,10 +206,10 @@
   site.set_faults(site.platform_address(), {{"lose_write_answers", 1}});
   const Reply lost = site.set_weight(0, "lost", 0, 2);
   cr_assert_eq(lost.status, 200, "%s", lost.body.c_str());
-  const Reply accepted = site.set_weight(0, "kept", 0, 3);
-  cr_assert_eq(accepted.status, 200);
+  const Reply accepted_reply = site.set_weight(0, "kept", 0, 3);
+  cr_assert_eq(accepted_reply.status, 200);
   site.nodes[0]->kill();
-  const auto revision = accepted.json["revision"].get<int>();
+  const auto revision = accepted_reply.json["revision"].get<int>();
   for (std::size_t i = 1; i < 3; ++i) {
     cr_assert(eventually([&] { return site.status(i)["revision"].get<int>() >= revision; }));
   }
--- a/tests/process/support/site.cpp
+++ b/tests/process/support/site.cpp
@@ -146,15 +146,15 @@
   return send("GET", "http://" + engine(index) + "/control/executions").json;
 }
 
-int Site::count_runs(const std::string& request_id) {
-  int runs = 0;
+int Site::count_executions(const std::string& request_id) {
+  int execution_count = 0;
   for (std::size_t i = 0; i < engines.size(); ++i) {
     const json log = executions(i)["executions"];
     for (const json& execution : log) {
-      runs += execution["request"] == request_id ? 1 : 0;
+      execution_count += execution["request"] == request_id ? 1 : 0;
     }
   }
-  return runs;
+  return execution_count;
 }
 
 bool Site::orders_are_consistent() {
--- a/tests/process/support/site.hpp
+++ b/tests/process/support/site.hpp
@@ -59,7 +59,7 @@
   nlohmann::json executions(std::size_t engine);
 
   /// @return number of executions of a request over all engines.
-  int count_runs(const std::string& request_id);
+  int count_executions(const std::string& request_id);
 
   /// @return whether every engine accepted orders only with increasing stamps.
   bool orders_are_consistent();
--- a/tests/process/whole_path_test.cpp
+++ b/tests/process/whole_path_test.cpp
@@ -64,7 +64,7 @@
   const Reply buffered = site.send_request(0, Site::completion("hello", 12));
   cr_assert_eq(buffered.status, 200, "%s", buffered.body.c_str());
   cr_assert_eq(buffered.json["choices"][0]["text"], whole_answer("hello", 12));
-  cr_assert_eq(site.count_runs(std::string(buffered.headers.get("X-Request-Id"))), 1);
+  cr_assert_eq(site.count_executions(std::string(buffered.headers.get("X-Request-Id"))), 1);
 
   const Reply stream = site.send_request(1, Site::completion("hello", 3, true));
   cr_assert_eq(stream.headers.get("Content-Type"), "text/event-stream");
--- a/tests/store/kind_watch_test.cpp
+++ b/tests/store/kind_watch_test.cpp
@@ -177,13 +177,13 @@
   fixture.store.put("k", "b", {});
   fixture.store.remove("k", "a");
   fixture.settings.freshness = store::Freshness::kMayLag;
-  std::vector<std::size_t> lists;
+  std::vector<std::size_t> list_sizes;
   fixture.handlers.on_list = [&](const store::ObjectList& list) {
-    lists.push_back(list.objects.size());
+    list_sizes.push_back(list.objects.size());
   };
   fixture.start();
   fixture.runtime.advance(1ms);
-  cr_assert_eq(lists, std::vector<std::size_t>{1});
+  cr_assert_eq(list_sizes, std::vector<std::size_t>{1});
   cr_assert_eq(fixture.names, std::set<std::string>{"b"});
   cr_assert_eq(fixture.store.latest_calls, 1, "one watch confirms the list");
 }
