--- a/src/core/relay/load_collector.hpp
+++ b/src/core/relay/load_collector.hpp
@@ -106,12 +106,12 @@
 
   SelectedSum select_sum(MonotonicTime now, const SumsByCollector& sums) const;
 
-  /// @return the selected sum of each other zone.
+  /// @return for each other zone, the sum of the collector selected for it, if any.
   std::vector<const Sum*> selected_sums(MonotonicTime now) const;
 
   LoadCollectorSettings settings;
   std::map<NodeId, Member> members;
-  std::map<ZoneName, SumsByCollector> zones;
+  std::map<ZoneName, SumsByCollector> other_zone_sums;
 };
 
 }  // namespace shuntbank::relay
--- a/src/engine/engine_api.hpp
+++ b/src/engine/engine_api.hpp
@@ -29,11 +29,12 @@
 /// Set to `not_run` on an error when the engine confirms that it ran nothing.
 constexpr const char* kOutcomeHeader = "X-Engine-Outcome";
 constexpr const char* kNotRun = "not_run";
-/// Load at the time of the reply, as `running/waiting/waiting tokens`.
+/// Load at the time of the reply: running requests, waiting requests, and prompt tokens not yet
+/// prefilled, as `RUNNING/WAITING/TOKENS`.
 constexpr const char* kLoadHeader = "X-Engine-Load";
 
 nlohmann::json to_json(const DesiredState& desired);
-tl::expected<DesiredState, std::string> desired_from_json(const nlohmann::json& json);
+tl::expected<DesiredState, std::string> desired_state_from_json(const nlohmann::json& json);
 
 nlohmann::json to_json(const EngineOrder& order);
 tl::expected<EngineOrder, std::string> order_from_json(const nlohmann::json& json);
--- a/src/node/claim_service.cpp
+++ b/src/node/claim_service.cpp
@@ -23,10 +23,11 @@
 /// How often a coordinator rereads the store while its view is unstable.
 constexpr int kRereadTicks = 10;
 
-/// Consecutive ticks a group change must be due before it is made, to ignore brief failures.
+/// Consecutive ticks in which `next_claim_group` must propose a change of the claim group before
+/// the change is written, to ignore brief failures.
 constexpr int kGroupChangeTicks = 3;
 
-std::string record_key(const RegionName& region) {
+std::string group_record_key(const RegionName& region) {
   return "claims/" + region.value();
 }
 
@@ -57,7 +58,7 @@
       ticker_(runtime, kTickInterval, [this] { tick(); }) {}
 
 std::vector<MemberFact> ClaimService::candidates() const {
-  return cluster_.candidates(record_key(region_), kCoordinatorCandidates);
+  return cluster_.candidates(group_record_key(region_), kCoordinatorCandidates);
 }
 
 bool ClaimService::is_coordinator() const {
@@ -211,7 +212,7 @@
 
 void ClaimService::read_record() {
   store_call_pending_ = true;
-  platform_.read(record_key(region_), [this](const auto& result) {
+  platform_.read(group_record_key(region_), [this](const auto& result) {
     store_call_pending_ = false;
     if (!result) return;
     record_loaded_ = true;
@@ -230,7 +231,7 @@
 void ClaimService::write_record(const ClaimGroupRecord& next) {
   store_call_pending_ = true;
   platform_.write(
-      record_key(region_), record_version_, to_json(next), [this, next](const auto& result) {
+      group_record_key(region_), record_version_, to_json(next), [this, next](const auto& result) {
         store_call_pending_ = false;
         // On no answer or a lost write race, reload the stored record.
         record_loaded_ = result && result->applied;
@@ -281,7 +282,7 @@
   const auto still_current = [this, view] {
     return takeover_ && takeover_->record().view == view && !record_.stable;
   };
-  if (takeover_->installed()) {
+  if (takeover_->majority_installed()) {
     ClaimGroupRecord stable = record_;
     stable.stable = true;
     return write_record(stable);
@@ -290,9 +291,9 @@
   std::set<NodeId> members;
   for (const ClaimMember& member : record_.members) members.insert(member.node);
   if (try_change_group(members)) return;
-  if (takeover_->history_lost() && ++takeover_ticks_ > kHistoryLossTicks) {
+  if (takeover_->claims_lost() && ++takeover_ticks_ > kHistoryLossTicks) {
     log_event(LogArea::kControl, LogLevel::kWarning, "claims_lost", {{"view", view}});
-    takeover_->accept_history_loss();
+    takeover_->accept_lost_claims();
   }
   if (!takeover_->sealed()) {
     for (const ClaimMember& member : takeover_->members_to_seal()) {
--- a/tests/process/support/site.hpp
+++ b/tests/process/support/site.hpp
@@ -59,7 +59,7 @@
   nlohmann::json executions(std::size_t engine);
 
   /// @return number of executions of a request over all engines.
-  int count_runs(const std::string& request_id);
+  int count_executions(const std::string& request_id);
 
   /// @return whether every engine accepted orders only with increasing stamps.
   bool orders_are_consistent();
@@ -67,7 +67,8 @@
   /// @return the node that holds the lease of the model service, or -1.
   int lease_holder();
 
-  /// @return whether the claim group has three members that serve its view.
+  /// @return whether the claim group is stable and has three members, and all nodes have
+  /// activated its newest view.
   bool claims_are_ready();
 
   /// Starts a node and registers it at the platform.
