--- a/src/core/relay/collector_choice.cpp
+++ b/src/core/relay/collector_selector.cpp
@@ -1,4 +1,4 @@
-#include "core/relay/collector_choice.hpp"
+#include "core/relay/collector_selector.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/core/relay/dispatch_choice.cpp
+++ b/src/core/relay/dispatch_plan.cpp
@@ -1,4 +1,4 @@
-#include "core/relay/dispatch_choice.hpp"
+#include "core/relay/dispatch_plan.hpp"
 
 #include <algorithm>
 
--- a/src/relay/engine_permits.hpp
+++ b/src/relay/engine_permits.hpp
@@ -14,7 +14,7 @@
 #include "common/periodic.hpp"
 #include "common/runtime.hpp"
 #include "core/relay/engine_directory.hpp"
-#include "core/relay/keeper_choice.hpp"
+#include "core/relay/limit_owner_selector.hpp"
 #include "core/relay/permit_schedule.hpp"
 #include "relay/engine_listener.hpp"
 #include "relay/permit_peers.hpp"
--- a/src/relay/exchange_settings.hpp
+++ b/src/relay/exchange_settings.hpp
@@ -6,7 +6,7 @@
 
 #include "common/identifiers.hpp"
 #include "common/time.hpp"
-#include "core/relay/collector_choice.hpp"
+#include "core/relay/collector_selector.hpp"
 #include "core/relay/load_collector.hpp"
 
 namespace shuntbank::relay {
--- a/src/relay/peer_directory.hpp
+++ b/src/relay/peer_directory.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "common/runtime.hpp"
-#include "core/relay/collector_choice.hpp"
+#include "core/relay/collector_selector.hpp"
 #include "relay/exchange_settings.hpp"
 #include "store/kind_watch.hpp"
 #include "store/object_store.hpp"
--- a/src/relay/relay_session.hpp
+++ b/src/relay/relay_session.hpp
@@ -12,7 +12,7 @@
 
 #include "common/runtime.hpp"
 #include "core/relay/attempt_outcome.hpp"
-#include "core/relay/dispatch_choice.hpp"
+#include "core/relay/dispatch_plan.hpp"
 #include "core/relay/engine_directory.hpp"
 #include "core/relay/request_identity.hpp"
 #include "core/relay/routes.hpp"
--- a/src/relay/relay_settings.hpp
+++ b/src/relay/relay_settings.hpp
@@ -7,7 +7,7 @@
 #include "common/identifiers.hpp"
 #include "common/time.hpp"
 #include "core/lease/lease_holder.hpp"
-#include "core/relay/dispatch_choice.hpp"
+#include "core/relay/dispatch_plan.hpp"
 #include "core/relay/placement.hpp"
 #include "core/relay/retry_budget.hpp"
 #include "core/relay/stage_planner.hpp"
--- a/src/relay/zone_exchange.hpp
+++ b/src/relay/zone_exchange.hpp
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "common/runtime.hpp"
-#include "core/relay/collector_choice.hpp"
+#include "core/relay/collector_selector.hpp"
 #include "core/relay/load_collector.hpp"
 #include "net/peer_transport.hpp"
 #include "protocol/load_digest.hpp"
--- a/tests/core/relay/keeper_choice_test.cpp
+++ b/tests/core/relay/limit_owner_selector_test.cpp
@@ -1,4 +1,4 @@
-#include "core/relay/keeper_choice.hpp"
+#include "core/relay/limit_owner_selector.hpp"
 
 #include <criterion/criterion.h>
 
--- a/tests/core/relay/permit_schedule_test.cpp
+++ b/tests/core/relay/permit_schedule_test.cpp
@@ -5,7 +5,7 @@
 #include <deque>
 #include <random>
 
-#include "support/limit_judge.hpp"
+#include "support/limit_checker.hpp"
 #include "support/property.hpp"
 
 using namespace shuntbank;
--- a/tests/platform/limit_judge_test.cpp
+++ b/tests/platform/limit_checker_test.cpp
@@ -1,5 +1,5 @@
 // Guards against a checker that misses requests above the limit or reports allowed ones.
-#include "support/limit_judge.hpp"
+#include "support/limit_checker.hpp"
 
 #include <criterion/criterion.h>
 
--- a/tests/platform/notice_judge_test.cpp
+++ b/tests/platform/notice_checker_test.cpp
@@ -1,5 +1,5 @@
 // Guards against a checker that misses forbidden requests or reports allowed ones.
-#include "support/notice_judge.hpp"
+#include "support/notice_checker.hpp"
 
 #include <criterion/criterion.h>
 
--- a/tests/platform/support/ledger.hpp
+++ b/tests/platform/support/ledger.hpp
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
-#include "support/limit_judge.hpp"
-#include "support/notice_judge.hpp"
+#include "support/limit_checker.hpp"
+#include "support/notice_checker.hpp"
 
 namespace shuntbank::testing {
 
--- a/tests/relay/engine_notice_test.cpp
+++ b/tests/relay/engine_notice_test.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "relay/support/fakes.hpp"
-#include "support/notice_judge.hpp"
+#include "support/notice_checker.hpp"
 #include "support/property.hpp"
 
 using namespace shuntbank;
--- a/tests/relay/support/limited_fleet.hpp
+++ b/tests/relay/support/limited_fleet.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "relay/support/exchanging_fleet.hpp"
-#include "support/limit_judge.hpp"
+#include "support/limit_checker.hpp"
 
 namespace shuntbank::testing {
 
--- a/tests/support/limit_judge.hpp
+++ b/tests/support/limit_checker.hpp
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "common/time.hpp"
-#include "support/notice_judge.hpp"
+#include "support/notice_checker.hpp"
 
 namespace shuntbank::testing {
 
